--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -4,24 +4,27 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: settings in, then events in and actions out.
+ * The interface of the decision module: it is created from settings, then takes events and returns actions.
  *
  * <p>One instance serves one proxy and is used by one thread. It has no clock and does no I/O: each event comes with
  * the proxy's time in microseconds, which never goes back. Equal settings, seed and events give equal actions. The
- * proxy carries the actions out in the order given. All durations are in microseconds.
+ * proxy carries the actions out in the order given. All durations are in microseconds. A backend is a server behind the proxy.
  */
 public interface Balancer {
 
-    /** What a request may have done when it is sent twice. */
+    /**
+     * Whether a request may be sent twice: {@code SAFE} is idempotent, {@code KEYED} has a key by which a group of backends discards
+     * repeats, and {@code UNSAFE} must run at most once.
+     */
     enum Effect { SAFE, KEYED, UNSAFE }
 
-    /** The backends that discard repeats of a {@link Effect#KEYED} request together. */
+    /** The group of backends that share the deduplication of {@link Effect#KEYED} requests. */
     enum Scope { ALL, ZONE, CELL }
 
-    /** What the server list says of a backend. */
+    /** The state of a backend by the server list. */
     enum State { READY, DRAINING, GONE }
 
-    /** What a list update holds: changes, a full list, the list as it was before a restart, or a failed call. */
+    /** What a list update has: changes, a full list, the list stored before a restart, or nothing because the call failed. */
     enum ListKind { DELTA, FULL, CACHED, FAILED }
 
     /** How an attempt ended. */
@@ -35,185 +38,195 @@
             this.neverRan = neverRan;
         }
 
-        /** Returns whether this outcome proves that the backend never ran the request; but see {@link Rules}. */
+        /** Returns whether this outcome proves that the backend never ran the request. {@link Rules} may restrict this for {@code FULL}. */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
-    /** A request class: an answer within {@code aimUs} earns {@code worth}, a later one that part of it. */
+    /**
+     * A request class. Its aim is a latency objective: an answer within {@code aimUs} earns {@code worth}, a later one the part
+     * {@code lateWorth} of it. {@code scope} and {@code windowUs} say which backends deduplicate a keyed request, and for how long.
+     */
     record RequestClass(String name, long aimUs, long deadlineUs, double worth, double lateWorth, Effect effect,
             Scope scope, long windowUs) {
         public RequestClass {
-            require(name != null && !name.isEmpty(), "class name");
-            require(aimUs > 0, "aim of class " + name);
-            require(deadlineUs > 0, "deadline of class " + name);
-            require(worth >= 0 && Double.isFinite(worth), "worth of class " + name);
-            require(lateWorth >= 0 && lateWorth <= 1, "late worth of class " + name);
-            require(effect != null, "effect of class " + name);
-            require(effect != Effect.KEYED || scope != null && windowUs >= 0, "scope and window of class " + name);
+            require(name != null && !name.isEmpty(), "class name", name, "a text that is not empty");
+            require(aimUs > 0, "aim of class " + name, aimUs, "more than 0 us");
+            require(deadlineUs > 0, "deadline of class " + name, deadlineUs, "more than 0 us");
+            require(worth >= 0 && Double.isFinite(worth), "worth of class " + name, worth, "a finite number from 0");
+            require(lateWorth >= 0 && lateWorth <= 1, "late worth of class " + name, lateWorth, "a part from 0 to 1");
+            require(effect != null, "effect of class " + name, effect, "a value");
+            require(effect != Effect.KEYED || scope != null && windowUs >= 0, "scope and window of class " + name,
+                    scope + " and " + windowUs, "a scope, and 0 us or more");
         }
     }
 
-    /** A tenant and the requests a second, over all proxies, that its share entitles it to. */
+    /** A tenant and its share: the requests a second that it may send over all proxies together. */
     record Tenant(String name, double quotaPerS) {
         public Tenant {
-            require(name != null && !name.isEmpty(), "tenant name");
-            require(quotaPerS >= 0, "quota of tenant " + name);
+            require(name != null && !name.isEmpty(), "tenant name", name, "a text that is not empty");
+            require(quotaPerS >= 0, "quota of tenant " + name, quotaPerS, "0 requests a second or more");
         }
     }
 
-    /** What the proxy may do. {@code listMustBeAsked}: the list comes only after {@link Watch} or {@link Fetch}. */
+    /**
+     * What the proxy may do. With {@code secondCopies} it may send hedged requests. With {@code listMustBeAsked} the server list comes only
+     * after {@link Watch} or {@link Fetch}.
+     */
     record Limits(boolean cancel, boolean secondCopies, boolean probes, boolean listMustBeAsked, int maxAttempts,
             long maxRetryAfterUs) {
         public Limits {
-            require(maxAttempts >= 1, "max attempts");
-            require(maxRetryAfterUs >= 0, "max retry-after");
+            require(maxAttempts >= 1, "max attempts", maxAttempts, "1 or more");
+            require(maxRetryAfterUs >= 0, "max retry-after", maxRetryAfterUs, "0 us or more");
         }
     }
 
     /**
-     * The figures of the rules: a backend starts at {@code coldFrom} of its capacity, is warm after {@code coldUs},
-     * and falls over when all proxies send more than {@code fallMultiple} of its capacity for {@code fallUs}.
-     * Where {@code fullUnproven}, a backend may answer {@link Outcome#FULL} for work that it had begun.
+     * The parameters of the rules. A backend starts at {@code coldFrom} of its capacity and is warm after {@code coldUs}. It fails
+     * if all proxies together send it more than {@code fallMultiple} of its capacity for {@code fallUs}. A proxy has to ask for the server
+     * list within {@code askWithinUs}. With {@code fullUnproven}, a backend may answer {@link Outcome#FULL} for work that it had begun.
      */
     record Rules(double coldFrom, long coldUs, double fallMultiple, long fallUs, long askWithinUs,
             boolean fullUnproven) {
         public Rules {
-            require(coldFrom > 0 && coldFrom <= 1, "cold from");
-            require(coldUs >= 0, "cold time");
-            require(fallMultiple > 0, "fall multiple");
-            require(fallUs > 0, "fall time");
-            require(askWithinUs > 0, "ask within");
+            require(coldFrom > 0 && coldFrom <= 1, "cold from", coldFrom, "a part above 0 and up to 1");
+            require(coldUs >= 0, "cold time", coldUs, "0 us or more");
+            require(fallMultiple > 0, "fall multiple", fallMultiple, "more than 0");
+            require(fallUs > 0, "fall time", fallUs, "more than 0 us");
+            require(askWithinUs > 0, "ask within", askWithinUs, "more than 0 us");
         }
     }
 
     /**
-     * All that an instance is told at its start. {@code rank} is its number among the balancers, from 0.
-     * {@code tickUs} is the least time between two rounds of events.
+     * The settings of an instance. {@code balancers} is the number of proxies and {@code rank} the number of this one, from 0.
+     * {@code tickUs} is the least time between two batches of events. With {@code warmKeys}, a request's key prefers the backend that is
+     * likely to have the key in its cache. A request of a tenant over its share is worth the part {@code overShareWorth} of its worth.
      */
     record Settings(int balancers, int rank, String zone, long tickUs, List<RequestClass> classes, List<Tenant> tenants,
             double overShareWorth, boolean warmKeys, Limits limits, Rules rules, long seed) {
         public Settings {
-            require(balancers >= 1, "balancers");
-            require(rank >= 0, "rank");
-            require(zone != null, "zone");
-            require(tickUs >= 0, "tick");
-            require(classes != null && !classes.isEmpty(), "classes");
-            require(tenants != null, "tenants");
-            require(overShareWorth >= 0 && overShareWorth <= 1, "over-share worth");
-            require(limits != null, "limits");
-            require(rules != null, "rules");
+            require(balancers >= 1, "balancers", balancers, "1 or more");
+            require(rank >= 0, "rank", rank, "0 or more");
+            require(zone != null, "zone", zone, "a text");
+            require(tickUs >= 0, "tick", tickUs, "0 us or more");
+            require(classes != null && !classes.isEmpty(), "classes", classes, "one class or more");
+            require(tenants != null, "tenants", tenants, "a list");
+            require(overShareWorth >= 0 && overShareWorth <= 1, "over-share worth", overShareWorth, "a part from 0 to 1");
+            require(limits != null, "limits", limits, "a value");
+            require(rules != null, "rules", rules, "a value");
             classes = List.copyOf(classes);
-            require(classes.stream().map(RequestClass::name).distinct().count() == classes.size(), "two classes of a name");
+            require(classes.stream().map(RequestClass::name).distinct().count() == classes.size(), "class names",
+                    classes.stream().map(RequestClass::name).toList(), "no name twice");
             tenants = List.copyOf(tenants);
         }
     }
 
-    /** One line of the server list. {@code startedAtUs} is 0 for long ago; {@code weight} only compares backends. */
+    /** An entry of the server list. A {@code startedAtUs} of 0 means long ago; {@code weight} is relative to that of other backends. */
     record Backend(String id, State state, String kind, String zone, int cell, long startedAtUs, double weight) {
         public Backend {
-            require(id != null && !id.isEmpty(), "backend id");
-            require(state != null, "state of backend " + id);
+            require(id != null && !id.isEmpty(), "backend id", id, "a text that is not empty");
+            require(state != null, "state of backend " + id, state, "a value");
         }
     }
 
-    /** Something that happened to the proxy. */
+    /** An event that the proxy reports. */
     sealed interface Event permits Members, Retuned, Excluded, Included, Arrival, RequestSending,
             RequestSent, StreamStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded { }
 
-    /** News of the server list. A backend missing from a full list is gone. */
+    /** The server list has changed, or a call for it failed. A backend that is missing from a full list is gone. */
     record Members(ListKind kind, List<Backend> backends) implements Event { }
 
-    /** The settings are others from now on; a request that has arrived keeps those that it came with. */
+    /** The settings have changed. A request that has arrived keeps the settings with which it came. */
     record Retuned(Settings settings) implements Event { }
 
-    /** The operators take a backend out: until {@link Included} it gets nothing new, whatever the list says. */
+    /** The operators exclude a backend: until {@link Included} it gets no further attempts, whatever the list says. */
     record Excluded(String backend) implements Event { }
 
-    /** The operators give a backend back. It was restarted meanwhile, whether or not the list has told so yet. */
+    /** The operators include a backend again. It was restarted meanwhile, whether or not the list says so already. */
     record Included(String backend) implements Event { }
 
     /**
-     * A client's request; {@code key} and {@code tenant} may be null, {@code leftUs} is the client's patience and
-     * {@code costUs} a guess at its work on a standard core, 0 where there is none.
+     * A request from a client. {@code key} and {@code tenant} may be null, {@code leftUs} is the time left until the client's deadline,
+     * {@code repeat} says that the client has sent it before, and {@code costUs} is the estimated work on a standard core, or 0 without an
+     * estimate.
      */
     record Arrival(String id, String requestClass, String tenant, String key, long leftUs, boolean repeat, long costUs)
             implements Event { }
 
-    /** A request that is still coming from its client is being passed on: until it has gone out whole, no answer is due. */
+    /** An attempt is streaming a request that its client is still sending: no answer is due until it has been sent in full. */
     record RequestSending(String id, int attempt) implements Event { }
 
-    /** Such a request has gone out whole: its time begins to run, and {@code leftUs} is the client's patience. */
+    /** A streamed request has been sent in full: its time starts now, and {@code leftUs} is left until the client's deadline. */
     record RequestSent(String id, int attempt, long leftUs) implements Event { }
 
-    /** An answer has begun to stream: the attempt is the client's from here on. */
+    /** An attempt's response has begun to stream to the client: the attempt is no longer repeated or replaced. */
     record StreamStarted(String id, int attempt) implements Event { }
 
-    /** The one end of an attempt. {@code last}: the request is over, by this or earlier. */
+    /** An attempt has ended; comes once for each attempt. {@code last} says that the request has its final answer, now or before. */
     record AttemptEnded(String id, int attempt, String backend, Outcome outcome, long latencyUs, boolean last)
             implements Event { }
 
-    /** The client has left; nothing more is owed. */
+    /** The client has disconnected, so that the request needs no answer. */
     record ClientGone(String id) implements Event { }
 
-    /** A timer set earlier is due. */
+    /** A timer that {@link SetTimer} had set has fired. */
     record TimerFired(String token) implements Event { }
 
-    /** The result of a probe. */
+    /** A probe has ended. */
     record ProbeEnded(String backend, Outcome outcome, long latencyUs) implements Event { }
 
-    /** Something the proxy is to do. */
+    /** An action for the proxy to carry out. Tests hash the text of actions, so that their names and components stay. */
     sealed interface Action permits Send, Refuse, Fail, Cancel, Release, SetTimer, Probe, Watch, Fetch, Log { }
 
     /**
-     * Send an attempt; the attempts of a request are numbered from 0 in the order sent. None of it may be written later
-     * than {@code sendByUs} on the proxy's clock: a connection may come up late.
+     * Sends an attempt. The attempts of a request are numbered from 0, in the order sent. If a connection comes up late, no part of the
+     * attempt may be written after {@code sendByUs} on the proxy's clock.
      */
     record Send(String id, String backend, long timeoutUs, long sendByUs) implements Action {
-        /** Makes one that may be written whenever its connection is there. */
+        /** Creates an attempt that may be written whenever its connection is ready. */
         public Send(String id, String backend, long timeoutUs) {
             this(id, backend, timeoutUs, Long.MAX_VALUE);
         }
     }
 
-    /** Final answer: not now, and a retry is harmless. 0: no hint when to come back. */
+    /** Refuses a request for now, as its final answer: the client may safely repeat it, after {@code retryAfterUs} if that is not 0. */
     record Refuse(String id, long retryAfterUs) implements Action { }
 
-    /** Final answer: failed, with nothing promised about its effect. */
+    /** Fails a request, as its final answer: it may or may not have had its effect. */
     record Fail(String id) implements Action { }
 
-    /** Stop waiting for one attempt. */
+    /** Cancels one attempt. */
     record Cancel(String id, int attempt) implements Action { }
 
-    /** Close the idle connections to a backend. */
+    /** Closes the idle connections to a backend. */
     record Release(String backend) implements Action { }
 
-    /** Ask for {@link TimerFired} at a time of the proxy's clock. */
+    /** Sets a timer: {@link TimerFired} comes at {@code atUs} on the proxy's clock. */
     record SetTimer(long atUs, String token) implements Action { }
 
-    /** Check a backend. */
+    /** Probes a backend. */
     record Probe(String backend) implements Action { }
 
-    /** Ask to be told of list changes from now on, or no longer. */
+    /** Starts or ends the watch on the server list. */
     record Watch(boolean on) implements Action { }
 
-    /** Ask for the whole list once. */
+    /** Asks for the full server list once. */
     record Fetch() implements Action { }
 
-    /** A line for the people who run the proxy. */
+    /** Writes a line to the log for the operators. */
     record Log(String text) implements Action { }
 
     /**
-     * Takes one event and hands out what the proxy is to do about it.
+     * Handles one event and passes the resulting actions to {@code actions}.
      *
-     * @param nowUs the proxy's clock, in microseconds, not before that of the event before
+     * @param nowUs the time on the proxy's clock, in microseconds, not before that of the previous event
      */
     void handle(long nowUs, Event event, Consumer<Action> actions);
 
-    private static void require(boolean holds, String setting) {
-        if (!holds) {
-            throw new IllegalArgumentException("invalid setting: " + setting);
+    private static void require(boolean valid, String setting, Object value, String expected) {
+        if (!valid) {
+            throw new IllegalArgumentException("invalid setting: " + setting + " is " + value + ", expected " + expected);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/ConcurrencyLimit.java
+++ b/proxy/src/main/java/walkpost/ConcurrencyLimit.java
@@ -1,113 +1,122 @@
 package walkpost;
 
 /**
- * How many attempts this proxy may have out: what is answered in a part of the shortest aim, what keeps backends busy, or a
- * floor by their cores. It owns the rate of answers that this rests on. Times are the proxy's, in us.
+ * Limits the attempts that this proxy may have in flight. The limit is the largest of three: the attempts that are answered in a part of
+ * the shortest aim, those that keep the servers busy, and a minimum by the servers' cores. The rate of answers that this rests on is kept
+ * here too. Used by the thread of its {@link Policy} only. All times are on the proxy's clock, in microseconds.
  */
 final class ConcurrencyLimit {
-    /** Attempts out may take this part of the shortest aim, by the rate of answers; held ones that again. */
-    private static final double SHARE = 1 / 5.0;
-    /** But never less than this part of the least mean response time, or backends idle and it cannot grow. */
-    private static final double BUSY = 1.2;
-    /** Attempts out for each backend, by all proxies, that are never too many; under 3 it is a mean. */
-    private static final double FLOOR = 3;
-    /** Part of a backend's rate that a refresh keeps at most. */
-    private static final double BORNE_KEPT = 0.8;
+    /** At the rate of answers, the attempts in flight may take this part of the shortest aim, and the queued requests as much again. */
+    private static final double TARGET_PER_AIM = 1 / 5.0;
+    /** The target time is at least this multiple of the unloaded response time; with less, servers idle and the limit cannot grow. */
+    private static final double MIN_TARGET_PER_UNLOADED_TIME = 1.2;
+    /**
+     * Attempts in flight at each server, from all proxies together, that are always allowed. If this proxy's limit is below this number,
+     * the limit is kept as a mean over time.
+     */
+    private static final double MIN_PER_SERVER = 3;
+    /** The part of the mean rate of answers of a server that is kept at a refresh, once there have been a few. */
+    private static final double SERVER_RATE_KEPT = 0.8;
 
     private int balancers;
-    private long refreshUs;
+    private long refreshPeriodUs;
     private long targetUs;
     private long now;
-    private int out;
-    private double most;
-    private double spare;
-    private double refused;
-    private long spareAt;
+    private int inFlight;
+    private double limit;
+    /** The part of the limit that was left unused, summed up over time: attempts times microseconds. */
+    private double unusedAttemptUs;
+    private long unusedUpdatedAt;
+    private double refusedPart;
     private double answersPerUs;
-    private long answersAt;
-    private double idleUs;
-    private double borne;
+    private long answersUpdatedAt;
+    /** The least mean response time of all servers: that of requests which do not wait for others. */
+    private double unloadedUs;
+    private double answersPerUsAndServer;
     private int refreshes;
 
-    void tune(int balancersNow, long shortestAimUs, long refreshEveryUs) {
-        balancers = balancersNow;
-        targetUs = (long) (SHARE * shortestAimUs);
-        refreshUs = refreshEveryUs;
+    void configure(int newBalancers, long shortestAimUs, long newRefreshPeriodUs) {
+        balancers = newBalancers;
+        targetUs = (long) (TARGET_PER_AIM * shortestAimUs);
+        refreshPeriodUs = newRefreshPeriodUs;
     }
 
-    /** The part of a warm backend's concurrency that counts for one of this warmth, however cold. */
-    static double part(double warmth) {
-        return Math.max(1 / FLOOR, warmth);
+    /** Returns the concurrency of a server of this warmth, as a part of a warm server's; it has a minimum, however cold the server. */
+    static double concurrencyPart(double warmth) {
+        return Math.max(1 / MIN_PER_SERVER, warmth);
     }
 
-    /** Sets the limit for this moment, by the number of backends and the mean of their {@link #part}. */
-    void set(long nowUs, int servers, double warm) {
+    /** Updates the limit, from the number of servers and the mean of their {@link #concurrencyPart}. */
+    void update(long nowUs, int servers, double meanConcurrencyPart) {
         now = nowUs;
-        double byRate = answerRate() * Math.max(targetUs, BUSY * idleUs);
-        // With less than a backend to itself, a proxy tells a crowd from bad luck by how much it refuses.
-        double share = servers / (double) balancers;
-        double cores = Math.min(FLOOR, Math.max(1, borne * balancers * idleUs));
-        // Cold backends can't take their part: counted in full, it would all go to the warm ones.
-        most = Math.max(byRate, warm * share * (FLOOR + (share < 1 ? cores * (1 - refused) - refused : 0)));
-        // One of hundreds of proxies may have less than one attempt out: in the mean of a time.
-        spare = Math.min(most * refreshUs, spare + (most - out) * (now - spareAt));
-        spareAt = now;
+        double limitByRate = answerRate() * Math.max(targetUs, MIN_TARGET_PER_UNLOADED_TIME * unloadedUs);
+        // A proxy with less than one server to itself distinguishes overload from chance by the part of requests that it refuses.
+        double serversPerProxy = servers / (double) balancers;
+        double estimatedCores = Math.min(MIN_PER_SERVER, Math.max(1, answersPerUsAndServer * balancers * unloadedUs));
+        // Cold servers cannot take their part. If they were counted in full, their part would all go to the warm ones.
+        limit = Math.max(limitByRate, meanConcurrencyPart * serversPerProxy
+                * (MIN_PER_SERVER + (serversPerProxy < 1 ? estimatedCores * (1 - refusedPart) - refusedPart : 0)));
+        // One of hundreds of proxies may have a limit below one attempt: it is then kept as a mean over time.
+        unusedAttemptUs = Math.min(limit * refreshPeriodUs, unusedAttemptUs + (limit - inFlight) * (now - unusedUpdatedAt));
+        unusedUpdatedAt = now;
     }
 
     /**
-     * Whether one more may be out: the limit's whole part always, the rest as it was left unused. Dearer ones may overdraw,
-     * by the part of classes {@code cheaper}: a proxy of hundreds never holds enough requests to order them by worth.
+     * Returns whether one more attempt may be sent. That is always so up to the integer part of the limit; one attempt more may be sent if
+     * the limit was left unused before. Requests of more valuable classes may overdraw, by {@code cheaperClassesPart}, the part of all
+     * classes that are worth less: one of hundreds of proxies never queues enough requests to order them by worth.
      */
-    boolean allowsOneMore(double cheaper) {
-        return out < Math.max(most, FLOOR) && (out + 1 <= most || spare >= -cheaper * most * refreshUs);
+    boolean allowsOneMore(double cheaperClassesPart) {
+        return inFlight < Math.max(limit, MIN_PER_SERVER)
+                && (inFlight + 1 <= limit || unusedAttemptUs >= -cheaperClassesPart * limit * refreshPeriodUs);
     }
 
-    void sent() {
-        out++;
+    void attemptSent() {
+        inFlight++;
     }
 
-    void ended() {
-        out--;
+    void attemptEnded() {
+        inFlight--;
     }
 
-    void answered() {
-        answersPerUs = answerRate() + 1.0 / refreshUs;
-        answersAt = now;
-        refused -= refused / 16;
+    void requestAnswered() {
+        answersPerUs = answerRate() + 1.0 / refreshPeriodUs;
+        answersUpdatedAt = now;
+        refusedPart -= refusedPart / 16;
     }
 
-    void refused() {
-        refused += (1 - refused) / 16;
+    void requestRefused() {
+        refusedPart += (1 - refusedPart) / 16;
     }
 
-    /** Takes over what {@code servers} backends bear, and a mean response time, 0 where none is known. */
-    void refresh(double meanUs, int servers) {
-        // Slowly: the answers of backends that have just left the list tell nothing of those that stay.
-        idleUs = idleUs == 0 ? meanUs : Math.min(idleUs, meanUs);
-        double bears = answerRate() / Math.max(1, servers);
-        borne += (bears - borne) * Math.max(1.0 / ++refreshes, 1 - BORNE_KEPT);
+    /** Updates the rate of answers of a server and the unloaded response time; {@code meanResponseUs} is 0 if none is known. */
+    void refresh(double meanResponseUs, int servers) {
+        unloadedUs = unloadedUs == 0 ? meanResponseUs : Math.min(unloadedUs, meanResponseUs);
+        double rateNow = answerRate() / Math.max(1, servers);
+        // Changes slowly, because the answers of servers that have just left the list say nothing about those that stay.
+        answersPerUsAndServer += (rateNow - answersPerUsAndServer) * Math.max(1.0 / ++refreshes, 1 - SERVER_RATE_KEPT);
     }
 
-    /** Returns the answers a us, in the mean of the last refresh or so. */
+    /** Returns the answers in a microsecond, as a mean over about the last refresh period. */
     double answerRate() {
-        return answersPerUs * Math.exp((answersAt - now) / (double) refreshUs);
+        return answersPerUs * Math.exp((answersUpdatedAt - now) / (double) refreshPeriodUs);
     }
 
-    /** Returns the attempts that are out in the mean where nothing waits for another. */
-    double busy() {
-        return answerRate() * idleUs;
+    /** Returns the mean number of attempts in flight if no request waited for another. */
+    double unloadedConcurrency() {
+        return answerRate() * unloadedUs;
     }
 
-    /** Returns the answers a us of this proxy that a backend has borne. */
-    double borne() {
-        return borne;
+    /** Returns the answers in a microsecond that this proxy has had from one server in the mean. */
+    double answersPerUsAndServer() {
+        return answersPerUsAndServer;
     }
 
-    double most() {
-        return most;
+    double limit() {
+        return limit;
     }
 
-    /** Returns the time whose answers may be out. */
+    /** Returns the time in which, at the rate of answers, all attempts in flight are to be answered. */
     long targetUs() {
         return targetUs;
     }
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -13,110 +13,126 @@
 import java.util.function.Consumer;
 
 /**
- * Decides where one proxy sends its requests. Settings, events and actions are in Balancer.java.
+ * The decision module: decides to which server one proxy sends each request, and when it queues, retries, refuses or fails one. The
+ * settings, events and actions are declared in {@link Balancer}.
  *
- * <p>A request goes to the eligible backend with the earliest deadline (currentTime + 1) / weight, with
- * weight = c / sum of c and c = 1 / response time of the backend's kind, as this proxy has seen it.
+ * <p>Servers are chosen by weighted earliest deadline first: a request goes to the eligible server with the earliest deadline
+ * (virtualTime + 1) / weight, where weight = c / (sum of all c), and c = 1 / (response time of the server's kind, as this proxy has
+ * measured it). The virtual time of a server is the number of requests sent to it since the last refresh of the weights.
+ *
+ * <p>Not thread-safe: one thread makes all calls. It does no I/O, and equal settings, seed and events give equal actions. Names that
+ * end in {@code At} or {@code Until}, and deadlines, are times on the proxy's clock in microseconds.
  */
 public final class Policy implements Balancer {
-    /** A kind's mean counts as so many of a backend's own answers, of which a refresh keeps a part. */
-    private static final double OWN_PRIOR = 4;
-    private static final double OWN_KEPT = 0.8;
-    /** A backend that is likely warm for a request's key counts as this many times its weight. */
-    private static final double WARM = 4;
-    /** A backend in the proxy's own zone counts as this many times its weight. */
-    private static final double NEAR = 4;
-    /** So many proxies share a backend, if there are no more proxies than backends. */
-    private static final double PART = 3;
-    /** A backend's c is never less than this part of the largest. */
-    private static final double FLOOR = 0.05;
-    /** Further attempts allowed for each request, and how many may be saved up. */
-    private static final double RETRY_RATE = 0.2;
-    private static final double RETRY_BURST = 10;
-    /** An attempt is cut off after this multiple of the time to its aim: sooner, its work goes on unseen. */
-    private static final double LATE = 2;
-    /** Most flows at servers with a failure against them, at 250 B each: no pause lasts as long as it takes to fail so often. */
-    private static final int MOST_PUT_OFF = 16_384;
+    /** In the estimate of a server's response time, the mean of its kind counts as much as this number of its own answers. */
+    private static final double KIND_MEAN_SAMPLES = 4;
+    /** The part of a server's own answers that is kept at a refresh of the weights. */
+    private static final double OWN_SAMPLES_KEPT = 0.8;
+    /** The factor on the weight of the server that is likely to have a request's key in its cache. */
+    private static final double WARM_KEY_FACTOR = 4;
+    /** The factor on the weight of a server in the proxy's own zone. */
+    private static final double OWN_ZONE_FACTOR = 4;
+    /** The number of proxies that share a server, if there are no more proxies than servers. */
+    private static final double PROXIES_PER_SERVER = 3;
+    /** The least weight of a server, as a part of the largest weight. */
+    private static final double MIN_WEIGHT_PER_LARGEST = 0.05;
+    /** Retry budget: the tokens that each request adds; a retry costs one. */
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.2;
+    private static final double MAX_RETRY_TOKENS = 10;
+    /**
+     * The timeout of an attempt, as a multiple of the time left until the aim. If attempts were cut off sooner, the servers would still
+     * work on them while the proxy counts them as ended.
+     */
+    private static final double TIMEOUT_PER_TIME_TO_AIM = 2;
+    /** Each takes 250 bytes. The bound is high enough: no ejection lasts as long as this number of failures takes to come about. */
+    private static final int MAX_EJECTED_FLOWS = 16_384;
 
     private Settings settings;
     private Rules rules;
     private final Random random;
-    /** By name, dropped ones too: a request of theirs may have been on its way. */
+    /** By name. Classes that are no longer in the settings stay, because their requests may still arrive. */
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Shares shares = new Shares();
-    private final ConcurrencyLimit limit = new ConcurrencyLimit();
-    private final Map<String, Long> leastLeft = new HashMap<>();
-    private final Map<String, Kind> kinds = new HashMap<>();
-    private final Kind all = new Kind();
-    private final Map<String, Server> byId = new HashMap<>();
+    private final TenantShares tenantShares = new TenantShares();
+    private final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
+    /** By class: the least time left until its deadline with which a first try (not a repeat) has arrived. */
+    private final Map<String, Long> minFirstTryLeftUs = new HashMap<>();
+    private final Map<String, ResponseTimeStats> statsByKind = new HashMap<>();
+    private final ResponseTimeStats overallStats = new ResponseTimeStats();
+    private final Map<String, Server> serversById = new HashMap<>();
+    /** The servers that are ready and not excluded, in this proxy's own order. */
     private final List<Server> servers = new ArrayList<>();
-    private final PutOff putOff = new PutOff(MOST_PUT_OFF);
-    private final Set<String> excluded = new HashSet<>();
-    /** When the operators gave a backend back, until it is warm again. */
+    private final EjectedFlows ejectedFlows = new EjectedFlows(MAX_EJECTED_FLOWS);
+    private final Set<String> excludedIds = new HashSet<>();
+    /** By server: when the operators ended its exclusion. An entry is removed once the server is warm again. */
     private final Map<String, Long> includedAt = new HashMap<>();
     private final Map<String, Request> requests = new HashMap<>();
-    private long refreshUs;
-    private long refreshAt = Long.MIN_VALUE;
-    private double retryTokens = RETRY_BURST;
-    private long askAt = Long.MIN_VALUE;
-    private int failedAsks;
-    private double outWork;
+    private long refreshPeriodUs;
+    private long nextRefreshAt = Long.MIN_VALUE;
+    private double retryTokens = MAX_RETRY_TOKENS;
+    /** When the list is to be requested next, or {@link Long#MAX_VALUE} if no request is due. */
+    private long listRequestAt = Long.MIN_VALUE;
+    private int failedListCalls;
+    /** The work of all attempts in flight, in requests of mean cost. */
+    private double workInFlight;
     private double meanCostUs;
-    private int costs;
+    private int costSamples;
     private long longestAimUs;
-    private final List<Request> held = new ArrayList<>();
-    private long wakeAt = Long.MIN_VALUE;
-    /** When all ready backends are warm at the latest. */
+    /** Highest worth first, then earliest aim. */
+    private final List<Request> queue = new ArrayList<>();
+    private long queueTimerAt = Long.MIN_VALUE;
+    /** The time by which all ready servers are warm. */
     private long allWarmAt = Long.MIN_VALUE;
     private long now;
-    private Consumer<Action> out;
+    private Consumer<Action> actions;
 
-    /** Starts an instance that knows nothing but its settings. */
+    /** Creates an instance with an empty list of servers. */
     public Policy(Settings settings) {
         this.random = new Random(settings.seed());
-        tune(settings);
+        applySettings(settings);
     }
 
-    /** Takes settings over, the first or others. What was seen of servers and tenants still holds. */
-    private void tune(Settings next) {
+    /** Applies the first settings or changed ones. The state of servers and tenants is kept. */
+    private void applySettings(Settings next) {
         settings = next;
         rules = next.rules();
         next.classes().forEach(c -> classes.put(c.name(), c));
         var aims = next.classes().stream().mapToLong(RequestClass::aimUs).summaryStatistics();
         longestAimUs = aims.getMax();
-        refreshUs = 2 * longestAimUs;
-        shares.tune(next, refreshUs);
-        limit.tune(next.balancers(), aims.getMin(), refreshUs);
-        // What first tries are left tells of the deadlines that were.
-        leastLeft.clear();
+        refreshPeriodUs = 2 * longestAimUs;
+        tenantShares.configure(next, refreshPeriodUs);
+        concurrencyLimit.configure(next.balancers(), aims.getMin(), refreshPeriodUs);
+        // The times left of earlier first tries depend on the earlier deadlines.
+        minFirstTryLeftUs.clear();
     }
 
-    /** A backend that this proxy may send to. */
+    /** A server on the list, and the state that this proxy keeps for it. */
     private static final class Server {
         private final String id;
         private Backend listed;
-        private Kind kind;
+        /** Shared by all servers of its kind. */
+        private ResponseTimeStats kindStats;
         private double weight;
-        private double near;
-        private double currentTime;
-        private double outWork;
-        private double ownUs;
+        private double zoneFactor;
+        private double virtualTime;
+        private double workInFlight;
+        /** The sum of this server's own response times, with those before a refresh counted in part, and their number. */
+        private double ownTotalUs;
         private double ownSamples;
-        private final SlowStart start = new SlowStart();
-        private final Trust whole = new Trust();
-        private final FlowTrusts flows;
+        private final SlowStart slowStart = new SlowStart();
+        private final OutlierDetector detector = new OutlierDetector();
+        private final FlowOutlierDetectors flowDetectors;
         private boolean ready;
 
-        Server(String id, PutOff putOff) {
+        Server(String id, EjectedFlows ejectedFlows) {
             this.id = id;
-            this.flows = new FlowTrusts(putOff);
+            this.flowDetectors = new FlowOutlierDetectors(ejectedFlows);
         }
     }
 
-    /** A request that has no final answer yet, or has attempts still out, and the ledger of its attempts. */
+    /** A request that has no final answer yet, or has attempts in flight, with all its attempts. */
     private static final class Request {
         private final String id;
-        private final RequestClass type;
+        private final RequestClass requestClass;
         private final String flow;
         private final String key;
         private final double worth;
@@ -126,16 +142,19 @@
         private long aimAt;
         private long deadline;
         private final List<Attempt> attempts = new ArrayList<>(2);
-        private int out;
-        private boolean over;
-        private long giveUpAt;
-        private double cheaper;
-        private Server home;
-
-        Request(String id, RequestClass type, String flow, String key, double worth, double size, double costUs, long began,
-                long deadline, int maxAttempts) {
+        private int inFlight;
+        /** Set once the request has its final answer or its client has left. */
+        private boolean finished;
+        private long queueUntil;
+        /** The part of all classes that are worth less than this request. */
+        private double cheaperClassesPart;
+        /** The server that is likely to have the request's key in its cache; null if there is none. */
+        private Server keyServer;
+
+        Request(String id, RequestClass requestClass, String flow, String key, double worth, double size, double costUs,
+                long clientBeganAt, long deadline, int maxAttempts) {
             this.id = id;
-            this.type = type;
+            this.requestClass = requestClass;
             this.flow = flow;
             this.key = key;
             this.worth = worth;
@@ -143,30 +162,30 @@
             this.costUs = costUs;
             this.maxAttempts = maxAttempts;
             this.deadline = deadline;
-            this.aimAt = type.lateWorth() > 0 ? deadline : Math.min(deadline, began + type.aimUs());
+            this.aimAt = requestClass.lateWorth() > 0 ? deadline : Math.min(deadline, clientBeganAt + requestClass.aimUs());
         }
 
-        boolean outranks(Request other) {
+        boolean precedes(Request other) {
             return worth > other.worth || worth == other.worth && aimAt < other.aimAt;
         }
     }
 
-    /** One attempt: {@code outcome} is null while it is out. */
+    /** One attempt. Its {@code outcome} is null while it is in flight. */
     private static final class Attempt {
         private final Request request;
         private final Server server;
-        private final Backend sentTo;
+        private final Backend listedWhenSent;
         private final long timeoutUs;
         private long sentAt;
-        /** Whether the server has it to do, as far as can be told: not while either body is only being passed on. */
-        private boolean working;
-        private boolean streaming;
+        /** Whether this counts as the server's work: not while the request body or the response body is only being relayed. */
+        private boolean countedAsWork;
+        private boolean responseStreaming;
         private Outcome outcome;
 
         Attempt(Request request, Server server, long sentAt, long timeoutUs) {
             this.request = request;
             this.server = server;
-            this.sentTo = server.listed;
+            this.listedWhenSent = server.listed;
             this.sentAt = sentAt;
             this.timeoutUs = timeoutUs;
         }
@@ -175,249 +194,270 @@
     @Override
     public void handle(long nowUs, Event event, Consumer<Action> actions) {
         now = nowUs;
-        limit.set(now, servers.size(), warmPart());
-        out = actions;
-        if (askAt == Long.MIN_VALUE) {
-            ask();
+        concurrencyLimit.update(now, servers.size(), meanConcurrencyPart());
+        this.actions = actions;
+        if (listRequestAt == Long.MIN_VALUE) {
+            requestList();
         }
         if (event instanceof Arrival e) {
-            arrival(e);
+            requestArrived(e);
         } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
         } else if (event instanceof RequestSending e) {
-            whereOut(e.id(), e.attempt()).ifPresent(this::putAside);
+            findInFlight(e.id(), e.attempt()).ifPresent(this::requestStreamStarted);
         } else if (event instanceof RequestSent e) {
-            whereOut(e.id(), e.attempt()).ifPresent(a -> sent(a, e.leftUs()));
+            findInFlight(e.id(), e.attempt()).ifPresent(attempt -> requestStreamEnded(attempt, e.leftUs()));
         } else if (event instanceof StreamStarted e) {
-            whereOut(e.id(), e.attempt()).ifPresent(this::streams);
-        } else if (event instanceof TimerFired e && e.token().equals("ask") && now >= askAt) {
-            ask();
+            findInFlight(e.id(), e.attempt()).ifPresent(this::responseStreamStarted);
+        } else if (event instanceof TimerFired e && e.token().equals("ask") && now >= listRequestAt) {
+            requestList();
         } else if (event instanceof Members e) {
-            members(e);
+            listUpdated(e);
         } else if (event instanceof Retuned e) {
-            tune(e.settings());
-            refresh();
-            ask();
+            applySettings(e.settings());
+            refreshWeights();
+            requestList();
         } else if (event instanceof Excluded e) {
             exclude(e.backend());
-        } else if (event instanceof Included e && excluded.remove(e.backend())) {
+        } else if (event instanceof Included e && excludedIds.remove(e.backend())) {
             include(e.backend());
         } else if (event instanceof ClientGone e && requests.containsKey(e.id())) {
-            close(requests.get(e.id()));
+            finish(requests.get(e.id()));
         }
-        release();
+        sendQueued();
     }
 
-    // Membership
+    // List of servers
 
-    private void members(Members news) {
-        if (news.kind() == ListKind.FAILED) {
-            // A call that failed is made again, later each time and not in step with the other proxies.
-            failedAsks++;
-            askIn(BackOff.us(rules.askWithinUs(), failedAsks, random.nextDouble()));
+    private void listUpdated(Members update) {
+        if (update.kind() == ListKind.FAILED) {
+            // A failed call is repeated after an exponential back-off with jitter.
+            failedListCalls++;
+            scheduleListRequest(BackOff.us(rules.askWithinUs(), failedListCalls, random.nextDouble()));
             return;
         }
-        if (news.kind() != ListKind.CACHED) {
-            failedAsks = 0;
-            askAt = Long.MAX_VALUE;
+        if (update.kind() != ListKind.CACHED) {
+            failedListCalls = 0;
+            listRequestAt = Long.MAX_VALUE;
         }
-        take(news.kind(), news.backends());
+        applyList(update.kind(), update.backends());
     }
 
-    private void take(ListKind kind, List<Backend> news) {
-        List<Server> before = List.copyOf(servers);
+    private void applyList(ListKind kind, List<Backend> backends) {
+        List<Server> readyBefore = List.copyOf(servers);
         if (kind != ListKind.DELTA) {
-            servers.forEach(s -> s.ready = false);
+            servers.forEach(server -> server.ready = false);
             servers.clear();
         }
-        var takenOut = new HashSet<Server>();
-        for (Backend b : news) {
-            Server s = byId.computeIfAbsent(b.id(), id -> new Server(id, putOff));
-            if (s.listed == null || b.startedAtUs() != s.listed.startedAtUs()) {
-                s.ownUs = s.ownSamples = 0;
-                s.start.begin(random.nextDouble(), now);
+        var readyButExcluded = new HashSet<Server>();
+        for (Backend backend : backends) {
+            Server server = serversById.computeIfAbsent(backend.id(), id -> new Server(id, ejectedFlows));
+            if (server.listed == null || backend.startedAtUs() != server.listed.startedAtUs()) {
+                server.ownTotalUs = server.ownSamples = 0;
+                server.slowStart.begin(random.nextDouble(), now);
             }
-            s.listed = b;
-            s.start.startedAt(Math.max(b.startedAtUs(), includedAt.getOrDefault(b.id(), 0L)));
-            s.near = settings.zone().equals(b.zone()) ? NEAR : 1;
-            s.kind = kinds.computeIfAbsent(String.valueOf(b.kind()), name -> new Kind());
-            if (s.ready) {
-                // Only those that are there: to look in vain for each entry of a whole list takes their number squared.
-                servers.remove(s);
+            server.listed = backend;
+            server.slowStart.setStartedAt(Math.max(backend.startedAtUs(), includedAt.getOrDefault(backend.id(), 0L)));
+            server.zoneFactor = settings.zone().equals(backend.zone()) ? OWN_ZONE_FACTOR : 1;
+            server.kindStats = statsByKind.computeIfAbsent(String.valueOf(backend.kind()), name -> new ResponseTimeStats());
+            if (server.ready) {
+                // Removes only servers that are present: a vain search for each entry of a full list would take quadratic time.
+                servers.remove(server);
             }
-            s.ready = b.state() == State.READY && !excluded.contains(b.id());
-            if (s.ready) {
-                servers.add(s);
-            } else if (b.state() == State.READY) {
-                takenOut.add(s);
+            server.ready = backend.state() == State.READY && !excludedIds.contains(backend.id());
+            if (server.ready) {
+                servers.add(server);
+            } else if (backend.state() == State.READY) {
+                readyButExcluded.add(server);
             }
         }
-        before.forEach(this::releaseUnlessReady);
+        readyBefore.forEach(this::releaseUnlessReady);
         if (kind != ListKind.DELTA) {
-            byId.values().removeIf(s -> !s.ready && !takenOut.contains(s));
+            serversById.values().removeIf(server -> !server.ready && !readyButExcluded.contains(server));
         }
-        refresh();
+        refreshWeights();
     }
 
-    /** A backend taken out is kept in mind, as the list may go on naming it and need not when it is given back. */
+    /**
+     * Excludes a server until {@link #include}. Its state is kept, because the list may go on naming it, and need not name it anew when the
+     * exclusion ends.
+     */
     private void exclude(String id) {
-        excluded.add(id);
-        Server s = byId.get(id);
-        if (s != null && s.ready) {
-            s.ready = false;
-            servers.remove(s);
-            releaseUnlessReady(s);
-            refresh();
+        excludedIds.add(id);
+        Server server = serversById.get(id);
+        if (server != null && server.ready) {
+            server.ready = false;
+            servers.remove(server);
+            releaseUnlessReady(server);
+            refreshWeights();
         }
     }
 
-    /** Nothing that was seen of a backend before it was taken out holds of the cold one that comes back. */
+    /** Ends the exclusion of a server. It comes back cold, so that its state from before the exclusion is discarded. */
     private void include(String id) {
         includedAt.put(id, now);
-        Server before = byId.get(id);
-        if (before != null && before.listed.state() == State.READY) {
-            take(ListKind.DELTA, List.of(byId.remove(id).listed));
+        Server server = serversById.get(id);
+        if (server != null && server.listed.state() == State.READY) {
+            applyList(ListKind.DELTA, List.of(serversById.remove(id).listed));
         }
     }
 
-    /** Rule 6: no idle connection is kept to a backend that drains or is gone: nobody has a use for it. */
-    private void releaseUnlessReady(Server s) {
-        if (!s.ready) {
-            out.accept(new Release(s.id));
+    /** Releases the idle connections to a server that is not ready (rule 6), because no request will use them. */
+    private void releaseUnlessReady(Server server) {
+        if (!server.ready) {
+            actions.accept(new Release(server.id));
         }
     }
 
     /**
-     * Puts the list in this proxy's order. Where proxies outnumber backends, as many as there are backends
-     * stand evenly along the list, by weight, as many in another order: no two stand and fall back alike.
+     * Sorts the servers in this proxy's own order of preference. If there are more proxies than servers, they form groups of as many
+     * proxies as there are servers. Each group has an order of its own, and the proxies of a group begin at places that are spread evenly
+     * over this order, by weight. So no two proxies have both the same first server and the same fallbacks.
      */
-    private void order() {
-        int rounds = Math.max(1, settings.balancers() / Math.max(1, servers.size()));
-        int shuffle = mix(settings.rank() % rounds);
-        servers.sort(Comparator.comparingInt(s -> mix(s.id.hashCode() ^ shuffle)));
-        double at = (settings.rank() / rounds) * (double) rounds / settings.balancers();
+    private void orderServers() {
+        int groups = Math.max(1, settings.balancers() / Math.max(1, servers.size()));
+        int shuffle = mix(settings.rank() % groups);
+        servers.sort(Comparator.comparingInt(server -> mix(server.id.hashCode() ^ shuffle)));
+        double position = (settings.rank() / groups) * (double) groups / settings.balancers();
         int first = 0;
-        while (first < servers.size() - 1 && at > servers.get(first).weight - 1e-9) {
-            at -= servers.get(first++).weight;
+        while (first < servers.size() - 1 && position > servers.get(first).weight - 1e-9) {
+            position -= servers.get(first++).weight;
         }
         Collections.rotate(servers, -first);
     }
 
-    /** Guards against backends hung, dead, slow or ill for some requests only, whatever the cause. */
-    private boolean trusted(Server s, Request r) {
-        long silenceUs = (long) Math.max(2 * limit.targetUs(), s.kind.meanUs());
-        return s.whole.holds(now, silenceUs) && s.flows.hold(r.flow, now, silenceUs);
+    /**
+     * Returns whether outlier detection lets a server have a request. It guards against servers that hang, are dead or slow, or fail
+     * for some flows only, whatever the cause.
+     */
+    private boolean isEligible(Server server, Request request) {
+        long silenceUs = (long) Math.max(2 * concurrencyLimit.targetUs(), server.kindStats.meanUs());
+        return server.detector.isEligible(now, silenceUs) && server.flowDetectors.isEligible(request.flow, now, silenceUs);
     }
 
-    /** Returns how many flows at servers this keeps in mind: it grows with what is in use and not with tenants times servers. */
-    int flowsKept() {
-        return byId.values().stream().mapToInt(s -> s.flows.size()).sum();
+    /** Returns the number of flows at servers that are stored. It grows with the flows in use, and not with tenants times servers. */
+    int trackedFlows() {
+        return serversById.values().stream().mapToInt(server -> server.flowDetectors.size()).sum();
     }
 
     // Weights
 
-    /** Sets w = c / sum of c and starts the earliest-deadline order afresh, once in twice the longest aim. */
-    private void refresh() {
-        refreshAt = now + refreshUs;
+    /**
+     * Sets the weights w = c / (sum of all c) and resets the virtual times. Called at every list change, and otherwise once in twice the
+     * longest aim.
+     */
+    private void refreshWeights() {
+        nextRefreshAt = now + refreshPeriodUs;
         includedAt.values().removeIf(at -> now - at >= rules.coldUs());
-        allWarmAt = servers.stream().mapToLong(s -> s.start.warmAt(rules)).max().orElse(Long.MIN_VALUE);
-        // A kind without answers yet goes by its list weight, in the unit of the kinds that have some.
-        double scale = servers.stream().filter(s -> s.kind.seen())
-                .mapToDouble(s -> 1 / (s.kind.meanUs() * s.listed.weight())).average().orElse(1);
-        servers.forEach(s -> s.weight = s.kind.seen() ? 1 / responseUs(s) : s.listed.weight() * scale);
-        double floor = FLOOR * servers.stream().mapToDouble(s -> s.weight).max().orElse(1);
-        double sum = servers.stream().mapToDouble(s -> Math.max(s.weight, floor)).sum();
-        for (Server s : servers) {
-            s.weight = Math.max(s.weight, floor) / sum;
-            s.currentTime = 0;
-            s.ownUs *= OWN_KEPT;
-            s.ownSamples *= OWN_KEPT;
-        }
-        order();
-    }
-
-    private void learn(Server s, double latencyUs) {
-        s.kind.learn(latencyUs);
-        s.ownUs += latencyUs;
-        s.ownSamples++;
-    }
-
-    /** The response time of a backend: its kind's mean, drawn to its own by the number of its own answers. */
-    private double responseUs(Server s) {
-        return (OWN_PRIOR * s.kind.meanUs() + s.ownUs) / (OWN_PRIOR + s.ownSamples);
-    }
-
-    // Pick
-
-    private void arrival(Arrival a) {
-        RequestClass type = classes.get(a.requestClass());
-        if (type == null) {
-            throw new IllegalArgumentException("request of a class not in the settings: " + a.requestClass());
-        }
-        if (now >= refreshAt) {
-            limit.refresh(all.settled() ? all.meanUs() : 0, servers.size());
-            refresh();
-        }
-        retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_RATE);
-        String flow = type.name() + '\n' + (shares.entitles(a.tenant()) ? a.tenant() : "");
-        double worth = shares.over(a.tenant(), a.repeat(), now) ? settings.overShareWorth() : 1;
-        // A repeat that is left less than first tries get began so long ago: past its aim, it ranks as late.
-        long least = leastLeft.merge(type.name(), a.repeat() ? Long.MAX_VALUE : a.leftUs(), Math::min);
-        long began = a.leftUs() < least ? now + a.leftUs() - type.deadlineUs() : now;
-        worth *= type.worth() * (now < began + type.aimUs() ? 1 : type.lateWorth());
-        String key = settings.warmKeys() ? a.key() : null;
-        var r = new Request(a.id(), type, flow, key, worth, size(a), a.costUs(), began, now + a.leftUs(),
-                settings.limits().maxAttempts());
-        requests.put(r.id, r);
-        hold(r);
-    }
-
-    private Server pick(Request r) {
+        allWarmAt = servers.stream().mapToLong(server -> server.slowStart.warmAt(rules)).max().orElse(Long.MIN_VALUE);
+        // A kind without answers has its weight from the list, scaled to the unit of the kinds that have answers.
+        double scale = servers.stream().filter(server -> server.kindStats.hasSamples())
+                .mapToDouble(server -> 1 / (server.kindStats.meanUs() * server.listed.weight())).average().orElse(1);
+        servers.forEach(server ->
+                server.weight = server.kindStats.hasSamples() ? 1 / responseUs(server) : server.listed.weight() * scale);
+        double floor = MIN_WEIGHT_PER_LARGEST * servers.stream().mapToDouble(server -> server.weight).max().orElse(1);
+        double sum = servers.stream().mapToDouble(server -> Math.max(server.weight, floor)).sum();
+        for (Server server : servers) {
+            server.weight = Math.max(server.weight, floor) / sum;
+            server.virtualTime = 0;
+            server.ownTotalUs *= OWN_SAMPLES_KEPT;
+            server.ownSamples *= OWN_SAMPLES_KEPT;
+        }
+        orderServers();
+    }
+
+    private void addLatency(Server server, double latencyUs) {
+        server.kindStats.addLatency(latencyUs);
+        server.ownTotalUs += latencyUs;
+        server.ownSamples++;
+    }
+
+    /** Returns the estimated response time of a server: the mean of its kind, moved to its own mean by the number of its own answers. */
+    private double responseUs(Server server) {
+        return (KIND_MEAN_SAMPLES * server.kindStats.meanUs() + server.ownTotalUs) / (KIND_MEAN_SAMPLES + server.ownSamples);
+    }
+
+    // Choice of a server
+
+    private void requestArrived(Arrival arrival) {
+        RequestClass requestClass = classes.get(arrival.requestClass());
+        if (requestClass == null) {
+            throw new IllegalArgumentException("request " + arrival.id() + " has class '" + arrival.requestClass()
+                    + "', which is not in the settings");
+        }
+        if (now >= nextRefreshAt) {
+            concurrencyLimit.refresh(overallStats.hasReliableMean() ? overallStats.meanUs() : 0, servers.size());
+            refreshWeights();
+        }
+        retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
+        String flow = requestClass.name() + '\n' + (tenantShares.hasShare(arrival.tenant()) ? arrival.tenant() : "");
+        double worth = tenantShares.chargeIsOverShare(arrival.tenant(), arrival.repeat(), now) ? settings.overShareWorth() : 1;
+        // A repeat with less time left than first tries have shows when the client began. If its aim has passed since, it is worth
+        // as much as a late answer.
+        long firstTryLeftUs = minFirstTryLeftUs.merge(requestClass.name(), arrival.repeat() ? Long.MAX_VALUE : arrival.leftUs(),
+                Math::min);
+        long clientBeganAt = arrival.leftUs() < firstTryLeftUs ? now + arrival.leftUs() - requestClass.deadlineUs() : now;
+        worth *= requestClass.worth() * (now < clientBeganAt + requestClass.aimUs() ? 1 : requestClass.lateWorth());
+        String key = settings.warmKeys() ? arrival.key() : null;
+        var request = new Request(arrival.id(), requestClass, flow, key, worth, relativeSize(arrival), arrival.costUs(), clientBeganAt,
+                now + arrival.leftUs(), settings.limits().maxAttempts());
+        requests.put(request.id, request);
+        enqueue(request);
+    }
+
+    /** Returns the server that a request is to be sent to now, or null if it has to wait. */
+    private Server chooseServer(Request request) {
         Server best = null;
-        double earliest = Double.POSITIVE_INFINITY;
-        int balance = 0;
-        // Far busier than others, a proxy takes a larger part: a backend for each attempt out in the mean.
-        double left = Math.max(PART * servers.size() / settings.balancers(), limit.busy());
-        for (Server s : servers) {
-            if (!effectAllows(s, r) || !inTime(s, r)) {
+        double earliestDeadline = Double.POSITIVE_INFINITY;
+        // Below 0 if fewer than a quarter of the servers considered are eligible.
+        int eligibilityScore = 0;
+        // A proxy uses only its part of the servers. One far busier than others uses one server for each attempt in flight in the mean.
+        double warmServersLeft = Math.max(PROXIES_PER_SERVER * servers.size() / settings.balancers(),
+                concurrencyLimit.unloadedConcurrency());
+        for (Server server : servers) {
+            if (!mayBeSentTo(server, request) || !canMeetAim(server, request)) {
                 continue;
             }
-            boolean trust = trusted(s, r);
-            balance += trust ? 3 : -1;
-            double deadline = (s.currentTime + 1) / (s.weight * s.near * (s == r.home ? WARM : 1));
-            deadline *= r.attempts.isEmpty() || r.attempts.stream().noneMatch(a -> a.server == s) ? 1 : 1e6;
-            deadline *= trust ? 1 : 1e18;
-            // Few have a cold backend in their part: it would get nothing of what the rest may send it.
-            boolean open = !trust || left > 0 || warmth(s) < 1;
-            if (open && deadline < earliest && hasRoom(s, r) && mayStart(s)) {
-                best = s;
-                earliest = deadline;
+            boolean eligible = isEligible(server, request);
+            eligibilityScore += eligible ? 3 : -1;
+            double deadline = (server.virtualTime + 1)
+                    / (server.weight * server.zoneFactor * (server == request.keyServer ? WARM_KEY_FACTOR : 1));
+            // Servers that had an attempt of this request come after the others, and servers that are not eligible come last.
+            deadline *= request.attempts.isEmpty() || request.attempts.stream().noneMatch(attempt -> attempt.server == server) ? 1 : 1e6;
+            deadline *= eligible ? 1 : 1e18;
+            // A cold server may be used by every proxy. Only a few have it in their part, and it would get nothing of what the other
+            // proxies may send it.
+            boolean mayUse = !eligible || warmServersLeft > 0 || warmth(server) < 1;
+            if (mayUse && deadline < earliestDeadline && hasCapacity(server, request) && slowStartAllows(server)) {
+                best = server;
+                earliestDeadline = deadline;
             }
-            boolean sound = !s.kind.seen() || responseUs(s) < 4 * s.kind.meanUs();
-            left -= settings.balancers() > PART && trust && sound && warmth(s) >= 1 ? 1 : 0;
+            // Only warm and eligible servers that are not much slower than their kind count as this proxy's part.
+            boolean notSlow = !server.kindStats.hasSamples() || responseUs(server) < 4 * server.kindStats.meanUs();
+            warmServersLeft -= settings.balancers() > PROXIES_PER_SERVER && eligible && notSlow && warmth(server) >= 1 ? 1 : 0;
         }
-        // If nearly all look ill, it is this proxy that is cut off, or the load: then all are tried on.
-        return best == null || balance < 0 || trusted(best, r) ? best : null;
+        // If nearly all servers look faulty, the cause is a partition of this proxy or overload. Then ejected servers are used as well.
+        return best == null || eligibilityScore < 0 || isEligible(best, request) ? best : null;
     }
 
     /**
-     * Whether a backend that did nothing else could do a request's work before its aim. One that can't is spared it:
-     * the answer would be worth nothing, and the work would keep many others waiting.
+     * Returns whether a server that did nothing else could answer a request before its aim. A server that could not is not sent the
+     * request, because the answer would be worth nothing and the work would keep many other requests waiting.
      */
-    private boolean inTime(Server s, Request r) {
-        double workUs = workUs(s, r);
-        return workUs == 0 || now >= r.aimAt
-                || now + workUs * Math.max(1, responseUs(s) / s.kind.meanUs()) <= r.aimAt;
+    private boolean canMeetAim(Server server, Request request) {
+        double workUs = workUs(server, request);
+        return workUs == 0 || now >= request.aimAt
+                || now + workUs * Math.max(1, responseUs(server) / server.kindStats.meanUs()) <= request.aimAt;
     }
 
-    /** What a request takes of a backend of that kind which does nothing else; 0 where that is not known. */
-    private double workUs(Server s, Request r) {
-        return r.costUs * s.kind.perCost(now, Trust.PAUSES * refreshUs);
+    /** Returns how long a request takes at a server of that kind which does nothing else; 0 if that is not known. */
+    private double workUs(Server server, Request request) {
+        return request.costUs * server.kindStats.timePerCost(now, OutlierDetector.MAX_EJECTION_MULTIPLE * refreshPeriodUs);
     }
 
-    /** The backend where a key is likely to be warm: all proxies find the same one, by rendezvous hashing. */
-    private Server home(String key) {
-        return servers.stream().max(Comparator.comparingInt(s -> mix(key.hashCode() ^ s.id.hashCode())))
+    /** Returns the server that is likely to have a key in its cache: by rendezvous hashing, the same one for all proxies. */
+    private Server keyServer(String key) {
+        return servers.stream().max(Comparator.comparingInt(server -> mix(key.hashCode() ^ server.id.hashCode())))
                 .orElse(null);
     }
 
@@ -427,289 +467,316 @@
         return mixed ^ mixed >>> 13;
     }
 
-    /** A request's work, in requests: its cost over the mean, where clients give a guess at it. */
-    private double size(Arrival a) {
-        if (a.costUs() <= 0) {
+    /** Returns the work of a request, in requests: its cost divided by the mean cost, or 1 if the client gives no estimate of the cost. */
+    private double relativeSize(Arrival arrival) {
+        if (arrival.costUs() <= 0) {
             return 1;
         }
-        costs = Math.min(costs + 1, Kind.MEMORY);
-        meanCostUs += (a.costUs() - meanCostUs) / costs;
-        return a.costUs() / meanCostUs;
+        costSamples = Math.min(costSamples + 1, ResponseTimeStats.MAX_SAMPLES);
+        meanCostUs += (arrival.costUs() - meanCostUs) / costSamples;
+        return arrival.costUs() / meanCostUs;
     }
 
     /**
-     * A backend may have its weight's share of all work out, at least one attempt. Counters see sends alone; this
-     * sees a backend that answers late or not at all, or is busy with costly requests.
+     * Returns whether a server may take a request: of all work in flight, it may have the part that its weight says, and at least one
+     * attempt. The virtual times count only what was sent; this check also sees a server that answers late or not at all, or is busy with
+     * costly requests.
      */
-    private boolean hasRoom(Server s, Request r) {
-        return s.whole.idle() || s.outWork + r.size <= Math.ceil(s.weight * (outWork + r.size));
+    private boolean hasCapacity(Server server, Request request) {
+        return server.detector.isIdle()
+                || server.workInFlight + request.size <= Math.ceil(server.weight * (workInFlight + request.size));
     }
 
-    /** Rule 2: a request that may have run goes only where its class lets it run again. */
-    private boolean effectAllows(Server s, Request r) {
-        return r.attempts.isEmpty() || r.type.effect() == Effect.SAFE || r.attempts.stream().allMatch(a ->
-                !mayHaveRun(a) || r.type.effect() == Effect.KEYED && now < a.sentAt + r.type.windowUs()
-                && sameGroup(r.type.scope(), a.sentTo, s.listed));
+    /** Returns whether a request may be sent to a server: one that may have run goes only where its class lets it run again (rule 2). */
+    private boolean mayBeSentTo(Server server, Request request) {
+        return request.attempts.isEmpty() || request.requestClass.effect() == Effect.SAFE || request.attempts.stream().allMatch(attempt ->
+                !mayHaveRun(attempt) || request.requestClass.effect() == Effect.KEYED
+                && now < attempt.sentAt + request.requestClass.windowUs()
+                && inSameScope(request.requestClass.scope(), attempt.listedWhenSent, server.listed));
     }
 
-    /** Rule 5: where 'full' is no proof, it counts as any other failure, for sends and refusals alike. */
-    private boolean mayHaveRun(Attempt a) {
-        return a.outcome == null || !a.outcome.neverRan()
-                || a.outcome == Outcome.FULL && rules.fullUnproven();
+    /**
+     * Returns whether an attempt may have had an effect. If the rules say that {@link Outcome#FULL} is no proof of the contrary, it
+     * counts as any other failure, for retries and refusals alike (rule 5).
+     */
+    private boolean mayHaveRun(Attempt attempt) {
+        return attempt.outcome == null || !attempt.outcome.neverRan()
+                || attempt.outcome == Outcome.FULL && rules.fullUnproven();
     }
 
-    private static boolean sameGroup(Scope scope, Backend a, Backend b) {
+    private static boolean inSameScope(Scope scope, Backend first, Backend second) {
         return switch (scope) {
             case ALL -> true;
-            case ZONE -> String.valueOf(a.zone()).equals(b.zone());
-            case CELL -> a.cell() == b.cell();
+            case ZONE -> String.valueOf(first.zone()).equals(second.zone());
+            case CELL -> first.cell() == second.cell();
         };
     }
 
-    private double warmth(Server s) {
-        return s.start.warmth(now, rules);
+    private double warmth(Server server) {
+        return server.slowStart.warmth(now, rules);
     }
 
-    /** What a warm fleet's concurrency is multiplied by: 1 where none is cold, as nearly always. */
-    private double warmPart() {
+    /** Returns the servers' concurrency as a part of what it is when all are warm. Nearly always none is cold, and the part is 1. */
+    private double meanConcurrencyPart() {
         return now >= allWarmAt ? 1
-                : servers.stream().mapToDouble(s -> ConcurrencyLimit.part(warmth(s))).average().orElse(1);
+                : servers.stream().mapToDouble(server -> ConcurrencyLimit.concurrencyPart(warmth(server))).average().orElse(1);
     }
 
-    /** Rule 4. A backend's capacity is a guess: what those of its weight bear by our answers, or one request at a time. */
-    private boolean mayStart(Server s) {
-        if (warmth(s) >= 1) {
+    /**
+     * Returns whether the slow start of a server allows one more request (rule 4). The server's capacity is an estimate: what servers of
+     * its weight have answered to this proxy, or one request at a time over all proxies if that is more.
+     */
+    private boolean slowStartAllows(Server server) {
+        if (warmth(server) >= 1) {
             return true;
         }
-        double requestUs = s.kind.seen() ? s.kind.meanUs() : longestAimUs;
-        double perUs = Math.max(1 / (requestUs * settings.balancers()), limit.borne() * s.weight * servers.size());
-        return s.start.allowance(now, rules, perUs) >= 1;
+        double requestUs = server.kindStats.hasSamples() ? server.kindStats.meanUs() : longestAimUs;
+        double warmRatePerUs = Math.max(1 / (requestUs * settings.balancers()),
+                concurrencyLimit.answersPerUsAndServer() * server.weight * servers.size());
+        return server.slowStart.allowance(now, rules, warmRatePerUs) >= 1;
     }
 
-    private void send(Request r, Server s) {
-        s.currentTime += 1;
-        s.start.sent();
-        r.out++;
-        // A slow answer is worth waiting for, but not long past its aim: silence takes up the room of others.
-        long cutUs = now < r.aimAt ? (long) (LATE * (r.aimAt - now)) : Long.MAX_VALUE;
-        var a = new Attempt(r, s, now, Math.min(r.deadline - now, cutUs));
-        // A connection may take its time, and the window of a key does not wait for it.
-        long sendBy = r.type.effect() != Effect.KEYED ? Long.MAX_VALUE : r.attempts.stream().filter(this::mayHaveRun)
-                .mapToLong(before -> before.sentAt + r.type.windowUs()).min().orElse(Long.MAX_VALUE);
-        r.attempts.add(a);
-        works(a);
-        out.accept(new Send(r.id, s.id, a.timeoutUs, sendBy));
+    private void send(Request request, Server server) {
+        server.virtualTime += 1;
+        server.slowStart.requestSent();
+        request.inFlight++;
+        // A slow answer is worth waiting for, but not long past its aim, because a silent attempt uses up concurrency that others need.
+        long untilLateUs = now < request.aimAt ? (long) (TIMEOUT_PER_TIME_TO_AIM * (request.aimAt - now)) : Long.MAX_VALUE;
+        var attempt = new Attempt(request, server, now, Math.min(request.deadline - now, untilLateUs));
+        // The connection may come up late, and the attempt may not be written after the deduplication window of the key has ended.
+        long sendByUs = request.requestClass.effect() != Effect.KEYED ? Long.MAX_VALUE
+                : request.attempts.stream().filter(this::mayHaveRun)
+                        .mapToLong(earlier -> earlier.sentAt + request.requestClass.windowUs()).min().orElse(Long.MAX_VALUE);
+        request.attempts.add(attempt);
+        beginWork(attempt);
+        actions.accept(new Send(request.id, server.id, attempt.timeoutUs, sendByUs));
     }
 
     // Attempt outcome
 
-    private void attemptEnded(AttemptEnded e) {
-        Request r = requests.get(e.id());
-        if (r == null || e.attempt() >= r.attempts.size() || r.attempts.get(e.attempt()).outcome != null) {
+    private void attemptEnded(AttemptEnded ended) {
+        Request request = requests.get(ended.id());
+        if (request == null || ended.attempt() >= request.attempts.size() || request.attempts.get(ended.attempt()).outcome != null) {
             return;
         }
-        Attempt a = r.attempts.get(e.attempt());
-        a.outcome = e.outcome();
-        rests(a, e.outcome() != Outcome.TIMEOUT && e.outcome() != Outcome.CANCELLED);
-        r.out--;
-        releaseUnlessReady(a.server);
-        if (!a.streaming) {
-            judge(a, e.outcome(), e.latencyUs());
+        Attempt attempt = request.attempts.get(ended.attempt());
+        attempt.outcome = ended.outcome();
+        endWork(attempt, ended.outcome() != Outcome.TIMEOUT && ended.outcome() != Outcome.CANCELLED);
+        request.inFlight--;
+        releaseUnlessReady(attempt.server);
+        if (!attempt.responseStreaming) {
+            recordOutcome(attempt, ended.outcome(), ended.latencyUs());
         }
-        if (r.over || e.last()) {
-            close(r);
-        } else if (r.out == 0) {
-            retry(r);
+        if (request.finished || ended.last()) {
+            finish(request);
+        } else if (request.inFlight == 0) {
+            retry(request);
         }
     }
 
-    /** Counts an attempt as the server's to do, now or again. */
-    private void works(Attempt a) {
-        a.working = true;
-        a.server.whole.sent(now);
-        a.server.flows.sent(a.request.flow, now);
-        a.server.outWork += a.request.size;
-        outWork += a.request.size;
-        limit.sent();
+    /** Begins to count an attempt as work of its server, for the first time or again. */
+    private void beginWork(Attempt attempt) {
+        attempt.countedAsWork = true;
+        attempt.server.detector.attemptSent(now);
+        attempt.server.flowDetectors.attemptSent(attempt.request.flow, now);
+        attempt.server.workInFlight += attempt.request.size;
+        workInFlight += attempt.request.size;
+        concurrencyLimit.attemptSent();
     }
 
-    private void rests(Attempt a, boolean heard) {
-        if (a.working) {
-            a.working = false;
-            a.server.whole.ended(now, heard);
-            a.server.flows.ended(a.request.flow, now, heard);
-            a.server.outWork -= a.request.size;
-            outWork -= a.request.size;
-            limit.ended();
+    /** Ends counting an attempt as work of its server; {@code signal} says whether the server gave a sign of itself. */
+    private void endWork(Attempt attempt, boolean signal) {
+        if (attempt.countedAsWork) {
+            attempt.countedAsWork = false;
+            attempt.server.detector.attemptEnded(now, signal);
+            attempt.server.flowDetectors.attemptEnded(attempt.request.flow, now, signal);
+            attempt.server.workInFlight -= attempt.request.size;
+            workInFlight -= attempt.request.size;
+            concurrencyLimit.attemptEnded();
         }
     }
 
-    private Optional<Attempt> whereOut(String id, int number) {
-        Request r = requests.get(id);
-        return r == null || number >= r.attempts.size() || r.attempts.get(number).outcome != null ? Optional.empty()
-                : Optional.of(r.attempts.get(number));
+    private Optional<Attempt> findInFlight(String id, int number) {
+        Request request = requests.get(id);
+        return request == null || number >= request.attempts.size() || request.attempts.get(number).outcome != null ? Optional.empty()
+                : Optional.of(request.attempts.get(number));
     }
 
-    /** What is still coming from the client is no work for the server yet, and its silence means nothing. */
-    private void putAside(Attempt a) {
-        rests(a, true);
+    /** Stops counting the attempt as work: while the client is still sending its request, the server has no answer to give. */
+    private void requestStreamStarted(Attempt attempt) {
+        endWork(attempt, true);
     }
 
-    /** Its time runs from here on, as if it had only now arrived and been sent. */
-    private void sent(Attempt a, long leftUs) {
-        Request r = a.request;
-        long aimUs = r.aimAt - a.sentAt;
-        a.sentAt = now;
-        r.deadline = now + leftUs;
-        r.aimAt = Math.min(r.deadline, now + aimUs);
-        works(a);
+    /** Restarts the times of an attempt, as if its request had arrived and been sent only now. */
+    private void requestStreamEnded(Attempt attempt, long leftUs) {
+        Request request = attempt.request;
+        long aimUs = request.aimAt - attempt.sentAt;
+        attempt.sentAt = now;
+        request.deadline = now + leftUs;
+        request.aimAt = Math.min(request.deadline, now + aimUs);
+        beginWork(attempt);
     }
 
-    /** The answer is the client's from here on: the work is done, and how long the rest takes is not the server's doing. */
-    private void streams(Attempt a) {
-        rests(a, true);
-        a.streaming = true;
-        judge(a, Outcome.OK, now - a.sentAt);
+    /** Records a success: the server's work is done, and how long the rest of the response body takes is not up to the server alone. */
+    private void responseStreamStarted(Attempt attempt) {
+        endWork(attempt, true);
+        attempt.responseStreaming = true;
+        recordOutcome(attempt, Outcome.OK, now - attempt.sentAt);
     }
 
-    /** Learns of an answer, or of there being none. */
-    private void judge(Attempt a, Outcome outcome, long latencyUs) {
-        Request r = a.request;
-        boolean ok = outcome == Outcome.OK;
-        // What cannot be reached, or says nothing for long, fails for all; any other failure tells of the flow alone.
+    /** Records the outcome of an attempt in the outlier detection, the response times and the concurrency limit. */
+    private void recordOutcome(Attempt attempt, Outcome outcome, long latencyUs) {
+        Request request = attempt.request;
+        boolean success = outcome == Outcome.OK;
+        // A server that cannot be reached, or is silent for long, has failed for all flows. Any other failure counts for the flow alone.
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-            boolean silent = outcome == Outcome.TIMEOUT && workUs(a.server, r) < a.timeoutUs / LATE / 2;
-            a.server.whole.judge(outcome != Outcome.CONNECT_FAILED && !silent, now, refreshUs);
-            a.server.flows.judge(r.flow, ok, now, refreshUs);
-            learn(a.server, ok ? latencyUs : outcome == Outcome.ERROR ? r.type.aimUs() : a.timeoutUs);
-        }
-        if (ok) {
-            all.learn(latencyUs);
-            if (r.costUs > 0) {
-                a.server.kind.learn(latencyUs, r.costUs, now);
+            boolean silent = outcome == Outcome.TIMEOUT
+                    && workUs(attempt.server, request) < attempt.timeoutUs / TIMEOUT_PER_TIME_TO_AIM / 2;
+            attempt.server.detector.recordResult(outcome != Outcome.CONNECT_FAILED && !silent, now, refreshPeriodUs);
+            attempt.server.flowDetectors.recordResult(request.flow, success, now, refreshPeriodUs);
+            addLatency(attempt.server, success ? latencyUs : outcome == Outcome.ERROR ? request.requestClass.aimUs() : attempt.timeoutUs);
+        }
+        if (success) {
+            overallStats.addLatency(latencyUs);
+            if (request.costUs > 0) {
+                attempt.server.kindStats.addLatencyForCost(latencyUs, request.costUs, now);
             }
-            limit.answered();
+            concurrencyLimit.requestAnswered();
         }
     }
 
-    /** Forgets a request that is over once none of its attempts is out, and calls off those that are. */
-    private void close(Request r) {
-        if (!r.over && settings.limits().cancel()) {
-            for (int i = 0; i < r.attempts.size(); i++) {
-                if (r.attempts.get(i).outcome == null) {
-                    out.accept(new Cancel(r.id, i));
+    /** Finishes a request: cancels its attempts in flight, if that is allowed, and forgets it once none is in flight. */
+    private void finish(Request request) {
+        if (!request.finished && settings.limits().cancel()) {
+            for (int i = 0; i < request.attempts.size(); i++) {
+                if (request.attempts.get(i).outcome == null) {
+                    actions.accept(new Cancel(request.id, i));
                 }
             }
         }
-        r.over = true;
-        held.remove(r);
-        if (r.out == 0) {
-            requests.remove(r.id);
+        request.finished = true;
+        queue.remove(request);
+        if (request.inFlight == 0) {
+            requests.remove(request.id);
         }
     }
 
     // Retry
 
-    private void retry(Request r) {
-        // A request that no backend may be sent is over: held, it would only take up room.
-        if (now < r.aimAt && retryTokens >= 1 && r.attempts.size() < r.maxAttempts
-                && servers.stream().anyMatch(s -> effectAllows(s, r))) {
+    private void retry(Request request) {
+        // A request that may not be sent to any server is not queued, because it would only take up room in the queue.
+        if (now < request.aimAt && retryTokens >= 1 && request.attempts.size() < request.maxAttempts
+                && servers.stream().anyMatch(server -> mayBeSentTo(server, request))) {
             retryTokens -= 1;
-            hold(r);
+            enqueue(request);
         } else {
-            finish(r);
+            refuseOrFail(request);
         }
     }
 
-    // Refusal
+    // Queue and refusal
 
-    /** Queues a request, to be sent in this round if there is room: highest worth, then earliest aim. */
-    private void hold(Request r) {
-        // Sent at the last moment, it is to be answered in time: twice the limit's time ahead.
-        r.giveUpAt = Math.min(r.aimAt - 2 * limit.targetUs(), r.deadline - 2 * settings.tickUs());
-        r.cheaper = 1.0 * settings.classes().stream().filter(c -> c.worth() < r.worth).count()
+    /** Puts a request into the queue, in its order. It is sent in the same call of {@link #handle} if the limit allows. */
+    private void enqueue(Request request) {
+        // A request that is sent at the last moment has to be answered before its aim, and that may take twice the target time.
+        request.queueUntil = Math.min(request.aimAt - 2 * concurrencyLimit.targetUs(), request.deadline - 2 * settings.tickUs());
+        request.cheaperClassesPart = 1.0 * settings.classes().stream().filter(c -> c.worth() < request.worth).count()
                 / settings.classes().size();
-        r.home = r.key == null ? null : home(r.key);
-        int i = held.size();
-        while (i > 0 && r.outranks(held.get(i - 1))) {
+        request.keyServer = request.key == null ? null : keyServer(request.key);
+        int i = queue.size();
+        while (i > 0 && request.precedes(queue.get(i - 1))) {
             i--;
         }
-        held.add(i, r);
+        queue.add(i, request);
     }
 
-    /** Sends what there is room for; the rest waits, if any backend can still be in time and it is not too much. */
-    private void release() {
-        if (held.isEmpty()) {
+    /**
+     * Sends the queued requests that the limits allow. A request stays queued if there is time, if a server can still meet its aim, and if
+     * the queue is no longer than the concurrency limit; otherwise it is refused or failed.
+     */
+    private void sendQueued() {
+        if (queue.isEmpty()) {
             return;
         }
-        // A key away from its home costs its full work: in a crowd, the very room that is missing.
-        for (int i = 0; i < held.size() && held.get(i).worth == held.get(0).worth && limit.allowsOneMore(held.get(i).cheaper);) {
-            Request r = held.get(i);
-            if (r.home != null && pick(r) == r.home) {
-                held.remove(i);
-                send(r, r.home);
+        // Requests whose key is warm at a server go first: without the cache a request costs its full work, and under overload there is
+        // no capacity to spare for that.
+        for (int i = 0; i < queue.size() && queue.get(i).worth == queue.get(0).worth
+                && concurrencyLimit.allowsOneMore(queue.get(i).cheaperClassesPart);) {
+            Request request = queue.get(i);
+            if (request.keyServer != null && chooseServer(request) == request.keyServer) {
+                queue.remove(i);
+                send(request, request.keyServer);
             } else {
                 i++;
             }
         }
-        for (int i = 0; i < held.size() && limit.allowsOneMore(held.get(i).cheaper);) {
-            Request r = held.get(i);
-            Server s = pick(r);
-            if (s != null) {
-                held.remove(i);
-                send(r, s);
-            } else if (r.attempts.isEmpty() && r.size <= 1 && servers.stream().allMatch(x -> inTime(x, r))) {
-                // Where one that is not big, and may go anywhere, finds no room, those behind it find none either.
+        for (int i = 0; i < queue.size() && concurrencyLimit.allowsOneMore(queue.get(i).cheaperClassesPart);) {
+            Request request = queue.get(i);
+            Server server = chooseServer(request);
+            if (server != null) {
+                queue.remove(i);
+                send(request, server);
+            } else if (request.attempts.isEmpty() && request.size <= 1 && servers.stream().allMatch(any -> canMeetAim(any, request))) {
+                // If a request that is not large and may go to any server finds no room, those behind it find none either.
                 break;
             } else {
                 i++;
             }
         }
-        for (int i = held.size() - 1; i >= 0; i--) {
-            Request r = held.get(i);
-            if (r.giveUpAt <= now || servers.stream().noneMatch(s -> inTime(s, r)) || i >= Math.max(limit.most(), 1)) {
-                held.remove(i);
-                finish(r);
+        for (int i = queue.size() - 1; i >= 0; i--) {
+            Request request = queue.get(i);
+            if (request.queueUntil <= now || servers.stream().noneMatch(server -> canMeetAim(server, request))
+                    || i >= Math.max(concurrencyLimit.limit(), 1)) {
+                queue.remove(i);
+                refuseOrFail(request);
             }
         }
-        // Rule 1: whatever is held has a timer ahead of its deadline; sooner, as time brings room too.
-        long next = held.stream().mapToLong(r -> r.giveUpAt).min().orElse(Long.MAX_VALUE);
-        if (!held.isEmpty() && (now >= wakeAt || next < wakeAt)) {
-            wakeAt = Math.min(now + limit.targetUs() / 4, next);
-            out.accept(new SetTimer(wakeAt, "held"));
+        // Every queued request has a timer ahead of its deadline (rule 1). The timer fires sooner, because the limit also grows with time.
+        long earliestEnd = queue.stream().mapToLong(request -> request.queueUntil).min().orElse(Long.MAX_VALUE);
+        if (!queue.isEmpty() && (now >= queueTimerAt || earliestEnd < queueTimerAt)) {
+            queueTimerAt = Math.min(now + concurrencyLimit.targetUs() / 4, earliestEnd);
+            actions.accept(new SetTimer(queueTimerAt, "held"));
         }
     }
 
-    /** Gives the final answer: a refusal where a repeat is harmless, else a failure. */
-    private void finish(Request r) {
-        limit.refused();
-        boolean harmless = r.type.effect() == Effect.SAFE
-                || r.type.effect() == Effect.KEYED && r.type.scope() == Scope.ALL
-                || r.attempts.stream().noneMatch(this::mayHaveRun);
-        out.accept(harmless ? new Refuse(r.id, comeBackUs(r)) : new Fail(r.id));
-        close(r);
+    /** Gives the final answer: a refusal if it is safe to repeat the request, else a failure. */
+    private void refuseOrFail(Request request) {
+        concurrencyLimit.requestRefused();
+        boolean safeToRepeat = request.requestClass.effect() == Effect.SAFE
+                || request.requestClass.effect() == Effect.KEYED && request.requestClass.scope() == Scope.ALL
+                || request.attempts.stream().noneMatch(this::mayHaveRun);
+        actions.accept(safeToRepeat ? new Refuse(request.id, retryAfterUs(request)) : new Fail(request.id));
+        finish(request);
     }
 
-    /** When there may be room: what is held now has been answered by then. Not in step with the others refused. */
-    private long comeBackUs(Request r) {
-        double heldUs = servers.isEmpty() ? refreshUs : held.size() / Math.max(limit.answerRate(), 1.0 / refreshUs);
-        double spread = 1 - (mix(r.id.hashCode()) >>> 16) / 262_144.0;
-        return (long) (spread * Math.min(Math.max(limit.targetUs(), heldUs), settings.limits().maxRetryAfterUs()));
+    /**
+     * Returns when the client may come back: by then the requests that are queued now have been answered. Each request has a jitter of its
+     * own, so that refused clients do not come back in step.
+     */
+    private long retryAfterUs(Request request) {
+        double queuedUs = servers.isEmpty() ? refreshPeriodUs
+                : queue.size() / Math.max(concurrencyLimit.answerRate(), 1.0 / refreshPeriodUs);
+        double jitter = 1 - (mix(request.id.hashCode()) >>> 16) / 262_144.0;
+        return (long) (jitter * Math.min(Math.max(concurrencyLimit.targetUs(), queuedUs), settings.limits().maxRetryAfterUs()));
     }
 
     // Timers
 
-    private void ask() {
+    /**
+     * Asks for the list of servers and for a watch on its changes, if the list comes on request only. A timer repeats this if no list comes
+     * in time.
+     */
+    private void requestList() {
         if (settings.limits().listMustBeAsked()) {
-            out.accept(new Watch(true));
-            askIn(rules.askWithinUs());
+            actions.accept(new Watch(true));
+            scheduleListRequest(rules.askWithinUs());
         } else {
-            askAt = Long.MAX_VALUE;
+            listRequestAt = Long.MAX_VALUE;
         }
     }
 
-    private void askIn(long delayUs) {
-        askAt = now + delayUs;
-        out.accept(new SetTimer(askAt, "ask"));
+    private void scheduleListRequest(long delayUs) {
+        listRequestAt = now + delayUs;
+        actions.accept(new SetTimer(listRequestAt, "ask"));
     }
 }
--- a/proxy/src/main/java/walkpost/SlowStart.java
+++ b/proxy/src/main/java/walkpost/SlowStart.java
@@ -1,31 +1,37 @@
 package walkpost;
 
-/** The start of one backend: how warm it is, and what it may be sent until it is warm (rule 4). Times are the proxy's, in us. */
+/**
+ * The slow start of one server: how warm it is, and how many requests it may be sent until it is warm (rule 4). Used by the thread of
+ * its {@link Policy} only. All times are on the proxy's clock, in microseconds.
+ */
 final class SlowStart {
-    /** Part of the allowance that is used: requests differ in size and capacity is a guess. */
-    private static final double MARGIN = 0.4;
+    /** The part of the allowance that is used, because requests differ in size and the capacity is an estimate. */
+    private static final double ALLOWANCE_USED = 0.4;
 
     private long startedAt;
     private double tokens;
     private long tokensAt;
 
-    /** It was started anew. Of hundreds of proxies each may send it less than one request: so some send theirs. */
+    /**
+     * Begins a slow start with {@code firstTokens} requests, a random part of one. Each of hundreds of proxies may be allowed less than
+     * one request, and with a random beginning some of them may send theirs at once.
+     */
     void begin(double firstTokens, long now) {
         tokens = firstTokens;
         tokensAt = now;
     }
 
-    /** Sets when it started, by the list or by what the operators did; 0 for long ago. */
-    void startedAt(long at) {
+    /** Sets when the server started, by the list or by the operators' exclusion that ended; 0 means long ago. */
+    void setStartedAt(long at) {
         startedAt = at;
     }
 
-    /** Returns when it is warm at the latest. */
+    /** Returns the time by which the server is warm, or {@link Long#MIN_VALUE} if it started long ago. */
     long warmAt(Balancer.Rules rules) {
         return startedAt <= 0 ? Long.MIN_VALUE : startedAt + rules.coldUs();
     }
 
-    /** Returns the part of its capacity that it is sure to have: 1 once it is warm. */
+    /** Returns the part of its full capacity that the server certainly has: 1 once it is warm. */
     double warmth(long now, Balancer.Rules rules) {
         if (startedAt <= 0 || now - startedAt >= rules.coldUs()) {
             return 1;
@@ -34,24 +40,25 @@
     }
 
     /**
-     * Returns what it may still be sent, in requests, of the {@code perUs} that it bears of this proxy once it is warm. A
-     * quarter of this proxy's part may come at once and the rest in the course of each window: no window holds more than the
-     * whole.
+     * Returns how many requests the server may still be sent, as a token bucket. {@code warmRatePerUs} is the rate that it bears from this
+     * proxy once it is warm. A quarter of this proxy's part of a window may be sent at once, and the rest in the course of the window,
+     * so that no window holds more than the whole part.
      *
-     * <p>Where a part is less than one request, proxies take turns, by when each began to save. A turn that was not used is
-     * over after a window and the next comes in its time: if all saved up, after a lull all would send at once.
+     * <p>If the part is less than one request, the proxies take turns, in the order in which their buckets fill. A turn that is not used
+     * expires after a window, and the next one comes when the bucket is full again: if turns were saved up, all proxies would send at once
+     * after a lull.
      */
-    double allowance(long now, Balancer.Rules rules, double perUs) {
-        double allowedPerUs = MARGIN * rules.fallMultiple() * warmth(now, rules) * perUs;
-        double allowed = allowedPerUs * rules.fallUs();
-        double atOnce = Math.max(allowed / 4, Math.min(1, 0.75 * allowed));
+    double allowance(long now, Balancer.Rules rules, double warmRatePerUs) {
+        double allowedPerUs = ALLOWANCE_USED * rules.fallMultiple() * warmth(now, rules) * warmRatePerUs;
+        double allowedInWindow = allowedPerUs * rules.fallUs();
+        double burst = Math.max(allowedInWindow / 4, Math.min(1, 0.75 * allowedInWindow));
         tokens += 0.75 * allowedPerUs * (now - tokensAt);
-        tokens -= Math.max(0, Math.ceil(tokens - atOnce - 1));
+        tokens -= Math.max(0, Math.ceil(tokens - burst - 1));
         tokensAt = now;
         return tokens;
     }
 
-    void sent() {
+    void requestSent() {
         tokens -= 1;
     }
 }
--- a/proxy/src/main/java/walkpost/wire/Host.java
+++ b/proxy/src/main/java/walkpost/wire/InstanceHost.java
@@ -16,30 +16,33 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Reads batches of events, gives each to its instance, and writes the reply. Instances share nothing. */
-final class Host {
+/**
+ * Hosts instances of the decision module for the simulator: reads batches of events, passes each event to its instance, and writes the
+ * resulting actions as the reply. Instances share no state. Single-threaded.
+ */
+final class InstanceHost {
     private final Function<Balancer.Settings, Balancer> factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Fields fields = new Fields();
+    private final WireLine wireLine = new WireLine();
     private final StringBuilder reply = new StringBuilder(1 << 12);
     private BufferedReader reader;
     private long lineNumber;
 
-    Host() {
+    InstanceHost() {
         this(Policy::new);
     }
 
-    Host(Function<Balancer.Settings, Balancer> factory) {
+    InstanceHost(Function<Balancer.Settings, Balancer> factory) {
         this.factory = factory;
     }
 
-    /** Runs until the input ends; returns the exit code. */
+    /** Runs until the input ends, and returns the exit code: 0, or 1 after malformed input. */
     int run(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         try {
-            for (String line = next(); line != null; line = next()) {
+            for (String line = readLine(); line != null; line = readLine()) {
                 if (!line.isEmpty()) {
-                    batch(line);
+                    handleBatch(line);
                     reply.append("ok\n");
                     out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
                     out.flush();
@@ -53,79 +56,79 @@
         }
     }
 
-    private String next() throws IOException {
+    private String readLine() throws IOException {
         lineNumber++;
         return reader.readLine();
     }
 
-    private String nextInBatch() throws IOException {
-        String line = next();
+    private String readLineInBatch() throws IOException {
+        String line = readLine();
         if (line == null) {
             throw new WireException("input ends inside a batch");
         }
         return line;
     }
 
-    private void batch(String first) throws IOException {
-        fields.read(first);
-        if (!fields.name().equals("batch")) {
-            throw new WireException("expected 'batch', found '" + fields.name() + "'");
+    private void handleBatch(String firstLine) throws IOException {
+        wireLine.read(firstLine);
+        if (!wireLine.name().equals("batch")) {
+            throw new WireException("expected 'batch', found '" + wireLine.name() + "'");
         }
-        long now = fields.whole("wall_us");
-        for (String line = nextInBatch(); !line.equals("commit"); line = nextInBatch()) {
+        long now = wireLine.wholeNumber("wall_us");
+        for (String line = readLineInBatch(); !line.equals("commit"); line = readLineInBatch()) {
             if (!line.isEmpty()) {
-                fields.read(line);
-                event(now, fields.name());
+                wireLine.read(line);
+                handleEvent(now, wireLine.name());
             }
         }
     }
 
-    private void event(long now, String name) throws IOException {
-        int who = fields.small("who");
+    private void handleEvent(long now, String name) throws IOException {
+        int number = wireLine.nonNegativeInt("who");
         if (name.equals("up")) {
-            up(who);
+            createInstance(number);
             return;
         }
-        Instance instance = instances.get(who);
+        Instance instance = instances.get(number);
         if (instance == null) {
-            throw new WireException("'" + name + "' for instance " + who + ", which is not up");
+            throw new WireException("event '" + name + "' for instance " + number + ", which is not up");
         }
         if (name.equals("detach")) {
-            instances.remove(who);
+            instances.remove(number);
             return;
         }
-        Balancer.Event event = name.equals("update") ? members() : Codec.event(name, fields);
+        Balancer.Event event = name.equals("update") ? readListUpdate() : Codec.event(name, wireLine);
         if (event != null) {
             try {
                 instance.balancer.handle(now, event, instance);
             } catch (RuntimeException e) {
-                panic(who, e);
+                writePanic(number, e);
             }
         }
     }
 
-    private void up(int who) {
+    private void createInstance(int number) {
         Balancer.Settings settings;
         try {
-            settings = Codec.settings(fields);
+            settings = Codec.settings(wireLine);
         } catch (IllegalArgumentException e) {
             throw new WireException("up: " + e.getMessage());
         }
         try {
-            instances.put(who, new Instance(who, factory.apply(settings)));
+            instances.put(number, new Instance(number, factory.apply(settings)));
         } catch (RuntimeException e) {
-            panic(who, e);
+            writePanic(number, e);
         }
     }
 
-    private Balancer.Members members() throws IOException {
-        Balancer.ListKind kind = Codec.listKind(fields);
-        int count = fields.optional("nodes_list") == null ? 0 : fields.small("nodes_list");
+    private Balancer.Members readListUpdate() throws IOException {
+        Balancer.ListKind kind = Codec.listKind(wireLine);
+        int count = wireLine.optional("nodes_list") == null ? 0 : wireLine.nonNegativeInt("nodes_list");
         List<Balancer.Backend> backends = new ArrayList<>(Math.min(count, 1024));
         for (int i = 0; i < count; i++) {
-            fields.read(nextInBatch());
+            wireLine.read(readLineInBatch());
             try {
-                backends.add(Codec.backend(fields));
+                backends.add(Codec.backend(wireLine));
             } catch (IllegalArgumentException e) {
                 throw new WireException("entry: " + e.getMessage());
             }
@@ -133,28 +136,29 @@
         return new Balancer.Members(kind, backends);
     }
 
-    private void panic(int who, RuntimeException e) {
+    /** Writes that an instance has thrown an exception, and where. */
+    private void writePanic(int number, RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
-        Codec.head(reply, "panic", who).append(" message=").append(Codec.oneLine(String.valueOf(e)));
+        Codec.head(reply, "panic", number).append(" message=").append(Codec.oneLine(String.valueOf(e)));
         if (trace.length > 0) {
             reply.append(" at ").append(trace[0]);
         }
         reply.append('\n');
     }
 
-    /** One proxy's module, writing its actions to the reply under its number. */
+    /** The module of one simulated proxy. Writes its actions to the reply, with its number. */
     private final class Instance implements Consumer<Balancer.Action> {
-        private final int who;
+        private final int number;
         private final Balancer balancer;
 
-        Instance(int who, Balancer balancer) {
-            this.who = who;
+        Instance(int number, Balancer balancer) {
+            this.number = number;
             this.balancer = balancer;
         }
 
         @Override
         public void accept(Balancer.Action action) {
-            Codec.write(reply, who, action);
+            Codec.write(reply, number, action);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/wire/Main.java
+++ b/proxy/src/main/java/walkpost/wire/Main.java
@@ -4,12 +4,12 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** The command line: {@code drill} hosts instances of the module on standard input and output. */
+/** Entry point for the simulator: {@code drill} hosts instances of the decision module on standard input and output. */
 public final class Main {
     private Main() { }
 
     /**
-     * Runs the host.
+     * Runs the host until its input ends.
      *
      * @param args the single word {@code drill}
      * @throws IOException if standard input or output fails
@@ -20,7 +20,7 @@
             System.exit(2);
         }
         try (var out = new FileOutputStream(FileDescriptor.out)) {
-            int code = new Host().run(System.in, out, System.err);
+            int code = new InstanceHost().run(System.in, out, System.err);
             if (code != 0) {
                 System.exit(code);
             }
--- a/proxy/src/main/java/walkpost/wire/SettingsReader.java
+++ b/proxy/src/main/java/walkpost/wire/SettingsReader.java
@@ -5,9 +5,8 @@
 import java.util.Map;
 
 /**
- * Reads the settings of an instance from their paths, such as {@code profiles.0.aim_us}. The simulator's wire spells
- * them out on a line and a real proxy's configuration nests them in JSON; the names and what they mean are the same,
- * and are told here once for both.
+ * Reads the settings of an instance from a map of paths, such as {@code profiles.0.aim_us}, to values. The simulator's wire format has
+ * the paths on one line, and a real proxy's configuration nests them in JSON. Names and meanings are the same, so that both use this class.
  */
 public final class SettingsReader {
     private static final Map<String, Balancer.Effect> EFFECTS = Map.of(
@@ -30,47 +29,47 @@
     /**
      * Reads the settings.
      *
-     * @param values the settings by their paths; a list has its length under {@code .count}
+     * @param values the settings by their paths; the length of a list has a path that ends in {@code .count}
      * @param seed the seed of the instance's random numbers
-     * @throws IllegalArgumentException if a setting is missing or makes no sense; the message names it
+     * @throws IllegalArgumentException if a setting is missing or not valid; the message names it
      */
     public static Balancer.Settings read(Map<String, String> values, long seed) {
-        return new SettingsReader(values).settings(seed);
+        return new SettingsReader(values).readSettings(seed);
     }
 
     /**
      * Reads one whole number.
      *
-     * @throws IllegalArgumentException if it is missing or no whole number; the message names it
+     * @throws IllegalArgumentException if the setting is missing or not a whole number; the message names it
      */
     public static long whole(Map<String, String> values, String path) {
-        return new SettingsReader(values).whole(path);
+        return new SettingsReader(values).wholeNumber(path);
     }
 
-    private Balancer.Settings settings(long seed) {
+    private Balancer.Settings readSettings(long seed) {
         var classes = new ArrayList<Balancer.RequestClass>();
-        for (int i = 0; i < whole("profiles.count"); i++) {
+        for (int i = 0; i < wholeNumber("profiles.count"); i++) {
             String path = "profiles." + i + ".";
             var effect = word(path + "effect", EFFECTS);
             boolean keyed = effect == Balancer.Effect.KEYED;
-            classes.add(new Balancer.RequestClass(text(path + "name"), whole(path + "aim_us"),
-                    whole(path + "deadline_us"), number(path + "value"), number(path + "late_worth"), effect,
+            classes.add(new Balancer.RequestClass(text(path + "name"), wholeNumber(path + "aim_us"),
+                    wholeNumber(path + "deadline_us"), number(path + "value"), number(path + "late_worth"), effect,
                     keyed ? word(path + "key_scope", SCOPES) : Balancer.Scope.ALL,
-                    keyed ? whole(path + "window_us") : 0));
+                    keyed ? wholeNumber(path + "window_us") : 0));
         }
         var tenants = new ArrayList<Balancer.Tenant>();
-        int tenantCount = has("projects.count") ? (int) whole("projects.count") : 0;
+        int tenantCount = has("projects.count") ? (int) wholeNumber("projects.count") : 0;
         for (int i = 0; i < tenantCount; i++) {
             String path = "projects." + i + ".";
             tenants.add(new Balancer.Tenant(text(path + "name"), number(path + "allowance_per_s")));
         }
         var limits = new Balancer.Limits(flag("bounds.cancel"), flag("bounds.may_duplicate"), flag("bounds.probes"),
-                word("registry_mode", MODES), (int) whole("bounds.most_tries"), whole("bounds.max_retry_after_us"));
-        var rules = new Balancer.Rules(number("invariants.cold_from"), whole("invariants.cold_us"),
-                number("invariants.fall_multiple"), whole("invariants.fall_us"), whole("invariants.must_ask_in_us"),
+                word("registry_mode", MODES), (int) wholeNumber("bounds.most_tries"), wholeNumber("bounds.max_retry_after_us"));
+        var rules = new Balancer.Rules(number("invariants.cold_from"), wholeNumber("invariants.cold_us"),
+                number("invariants.fall_multiple"), wholeNumber("invariants.fall_us"), wholeNumber("invariants.must_ask_in_us"),
                 has("invariants.full_unproven") && flag("invariants.full_unproven"));
-        return new Balancer.Settings((int) whole("balancers"), (int) whole("rank"), text("locality"),
-                whole("quantum_us"), classes, tenants, tenantCount > 0 ? number("over_share_worth") : 1,
+        return new Balancer.Settings((int) wholeNumber("balancers"), (int) wholeNumber("rank"), text("locality"),
+                wholeNumber("quantum_us"), classes, tenants, tenantCount > 0 ? number("over_share_worth") : 1,
                 has("extra.warm_keys") && flag("extra.warm_keys"), limits, rules, seed);
     }
 
@@ -86,10 +85,10 @@
         return value;
     }
 
-    private long whole(String path) {
+    private long wholeNumber(String path) {
         double value = number(path);
         if (value != Math.rint(value)) {
-            throw new IllegalArgumentException("bad number '" + text(path) + "' in setting '" + path + "'");
+            throw new IllegalArgumentException("setting '" + path + "' is '" + text(path) + "', expected a whole number");
         }
         return (long) value;
     }
@@ -101,9 +100,9 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw new IllegalArgumentException("bad number '" + text(path) + "' in setting '" + path + "'");
+        throw new IllegalArgumentException("setting '" + path + "' is '" + text(path) + "', expected a finite number");
     }
 
     private boolean flag(String path) {
--- a/proxy/src/main/java/walkpost/wire/WireException.java
+++ b/proxy/src/main/java/walkpost/wire/WireException.java
@@ -1,6 +1,6 @@
 package walkpost.wire;
 
-/** Input that is not a legal message of the wire; the message says what is wrong with it. */
+/** The input is malformed. The message says which field is wrong, and what was expected. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/proxy/src/main/java/walkpost/wire/Fields.java
+++ b/proxy/src/main/java/walkpost/wire/WireLine.java
@@ -1,7 +1,10 @@
 package walkpost.wire;
 
-/** One line of the wire: a name and its name=value pairs, reused from line to line. */
-final class Fields {
+/**
+ * One line of the simulator's wire format: a name, then key=value fields, separated by spaces. One instance is reused for all lines, and
+ * by one thread.
+ */
+final class WireLine {
     private String line = "";
     private int nameEnd;
     private int count;
@@ -9,17 +12,17 @@
     private int[] keyEnd = new int[16];
     private int[] valueEnd = new int[16];
 
-    /** Reads a line in place of the one before. */
+    /** Parses a line in place of the previous one. */
     void read(String text) {
         line = text;
         count = 0;
         int length = text.length();
-        nameEnd = end(0);
+        nameEnd = indexOfSpace(0);
         for (int start = nameEnd + 1; start < length;) {
-            int stop = end(start);
+            int stop = indexOfSpace(start);
             int equals = text.indexOf('=', start);
             if (equals <= start || equals >= stop) {
-                throw new WireException("malformed field '" + text.substring(start, stop) + "'");
+                throw new WireException("malformed field '" + text.substring(start, stop) + "', expected key=value");
             }
             if (count == keyStart.length) {
                 keyStart = java.util.Arrays.copyOf(keyStart, 2 * count);
@@ -33,7 +36,8 @@
         }
     }
 
-    private int end(int from) {
+    /** Returns the index of the next space, or the length of the line if there is none. */
+    private int indexOfSpace(int from) {
         int space = line.indexOf(' ', from);
         return space < 0 ? line.length() : space;
     }
@@ -65,6 +69,7 @@
         return null;
     }
 
+    /** Returns the value of a key that must be there and not be empty. */
     String text(String key) {
         String value = optional(key);
         if (value == null || value.isEmpty()) {
@@ -73,28 +78,29 @@
         return value;
     }
 
-    long whole(String key) {
-        return whole(key, text(key));
+    long wholeNumber(String key) {
+        return wholeNumber(key, text(key));
     }
 
-    long whole(String key, long ifAbsent) {
+    long wholeNumber(String key, long ifAbsent) {
         String value = optional(key);
-        return value == null ? ifAbsent : whole(key, value);
+        return value == null ? ifAbsent : wholeNumber(key, value);
     }
 
-    int small(String key) {
-        long value = whole(key);
+    int nonNegativeInt(String key) {
+        long value = wholeNumber(key);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw new WireException(name() + ": bad number '" + value + "' in '" + key + "'");
+            throw new WireException(name() + ": field '" + key + "' is '" + value + "', expected a whole number from 0 to "
+                    + Integer.MAX_VALUE);
         }
         return (int) value;
     }
 
-    private long whole(String key, String value) {
+    private long wholeNumber(String key, String value) {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireException(name() + ": bad number '" + value + "' in '" + key + "'");
+            throw new WireException(name() + ": field '" + key + "' is '" + value + "', expected a whole number");
         }
     }
 
@@ -109,9 +115,9 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw new WireException(name() + ": bad number '" + value + "' in '" + key + "'");
+        throw new WireException(name() + ": field '" + key + "' is '" + value + "', expected a finite number");
     }
 
     boolean flag(String key) {
@@ -122,6 +128,6 @@
         if (value.equals("1") || value.equals("true")) {
             return true;
         }
-        throw new WireException(name() + ": bad bool '" + value + "' in '" + key + "'");
+        throw new WireException(name() + ": field '" + key + "' is '" + value + "', expected 0, 1, false or true");
     }
 }
--- a/proxy/src/test/java/walkpost/DecisionTraceTest.java
+++ b/proxy/src/test/java/walkpost/DecisionTraceTest.java
@@ -42,7 +42,7 @@
  * decision on purpose records the figures anew and says so; who only moves code finds them as they are.
  */
 class DecisionTraceTest {
-    private static final List<RequestClass> CLASSES = List.of(Proxy.READ, Proxy.PAY, Proxy.BOOK, Proxy.NOTE, Proxy.VOTE);
+    private static final List<RequestClass> CLASSES = List.of(PolicyHarness.READ, PolicyHarness.PAY, PolicyHarness.BOOK, PolicyHarness.NOTE, PolicyHarness.VOTE);
     private static final Outcome[] FAILURES = {Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET,
         Outcome.CONNECT_FAILED, Outcome.NOT_SENT};
 
@@ -82,7 +82,7 @@
         random = new Random(seed);
         settings = settings(proxies, tenants, seed);
         policy = new Policy(settings);
-        now = 1000 * Proxy.S;
+        now = 1000 * PolicyHarness.S;
         for (int i = 0; i < servers; i++) {
             list("s" + i, State.READY, random.nextInt(4) == 0 ? now - random.nextInt(8_000_000) : 0);
         }
@@ -97,7 +97,7 @@
             }
             arrive("r" + i, tenants);
         }
-        until(now + 60 * Proxy.S);
+        until(now + 60 * PolicyHarness.S);
     }
 
     private Settings settings(int proxies, int tenants, long seed) {
@@ -105,8 +105,8 @@
         for (int i = 0; i < tenants; i++) {
             shares.add(new Tenant("t" + i, proxies * (0.5 + random.nextInt(20))));
         }
-        return new Settings(proxies, proxies / 3, "a", 4 * Proxy.MS, CLASSES, shares, 0.05, true,
-                new Limits(true, false, false, true, 3, Proxy.S), new Rules(0.2, 20 * Proxy.S, 3, Proxy.S, 10 * Proxy.S,
+        return new Settings(proxies, proxies / 3, "a", 4 * PolicyHarness.MS, CLASSES, shares, 0.05, true,
+                new Limits(true, false, false, true, 3, PolicyHarness.S), new Rules(0.2, 20 * PolicyHarness.S, 3, PolicyHarness.S, 10 * PolicyHarness.S,
                 seed % 2 == 0), seed);
     }
 
--- a/proxy/src/test/java/walkpost/BackOffTest.java
+++ b/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class BackOffTest {
+class DiscoveryBackOffTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 500_000, 1_900_000, 10_000_000, 20_000_000, 60_000_000, 600_000_000, Long.MAX_VALUE / 100})
     void growsUpToTheLongestAndIsNeverInStep(long askWithinUs) {
--- a/proxy/src/test/java/walkpost/EmbeddingTest.java
+++ b/proxy/src/test/java/walkpost/EmbeddingTest.java
@@ -30,13 +30,13 @@
     @Test
     void wrongSettingsAreNamed() {
         assertThatThrownBy(() -> new Balancer.Settings(0, 0, "a", 1, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1))
-                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: balancers");
+                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: balancers is 0, expected 1 or more");
         assertThatThrownBy(() -> new Balancer.Settings(1, 0, "a", 1, List.of(), List.of(), 1, false, LIMITS, RULES, 1))
-                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: classes");
+                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: classes is [], expected one class or more");
         assertThatThrownBy(() -> new Balancer.Settings(1, 0, "a", 1, List.of(READ), List.of(), 1, false, null, RULES, 1))
-                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: limits");
+                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: limits is null, expected a value");
         assertThatThrownBy(() -> new Balancer.Rules(0, 1, 1, 1, 1, false))
-                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: cold from");
+                .isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting: cold from is 0.0, expected a part above 0 and up to 1");
     }
 
     @Test
--- a/proxy/src/test/java/walkpost/ExclusionTest.java
+++ b/proxy/src/test/java/walkpost/ExclusionTest.java
@@ -1,10 +1,10 @@
 package walkpost;
 
-import static walkpost.Proxy.MS;
-import static walkpost.Proxy.READ;
-import static walkpost.Proxy.S;
-import static walkpost.Proxy.backend;
-import static walkpost.Proxy.started;
+import static walkpost.PolicyHarness.MS;
+import static walkpost.PolicyHarness.READ;
+import static walkpost.PolicyHarness.S;
+import static walkpost.PolicyHarness.backend;
+import static walkpost.PolicyHarness.started;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.Excluded;
@@ -21,7 +21,7 @@
 /** A backend that the operators take out and give back. */
 class ExclusionTest {
     /** A cold backend bears little: one that got its half of what these tests send would fall over. */
-    private final Proxy proxy = new Proxy(Proxy.settings(Proxy.LIMITS, new Balancer.Rules(0.1, 8 * S, 2, S, 10 * S, false)));
+    private final PolicyHarness proxy = new PolicyHarness(PolicyHarness.settings(PolicyHarness.LIMITS, new Balancer.Rules(0.1, 8 * S, 2, S, 10 * S, false)));
 
     private List<String> serve(int requests) {
         var backends = new ArrayList<String>();
@@ -39,7 +39,7 @@
         assertThat(serve(10)).containsOnly("b");
         proxy.list(backend("a"), backend("b"));
         assertThat(serve(10)).containsOnly("b");
-        proxy.feed(new Members(ListKind.DELTA, List.of(Proxy.in(State.DRAINING, "a"))));
+        proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.in(State.DRAINING, "a"))));
         proxy.feed(new Members(ListKind.DELTA, List.of(started("a", proxy.now))));
         assertThat(serve(10)).containsOnly("b");
     }
--- a/proxy/src/test/java/walkpost/CrowdTest.java
+++ b/proxy/src/test/java/walkpost/OverloadTest.java
@@ -1,11 +1,11 @@
 package walkpost;
 
-import static walkpost.Proxy.LIMITS;
-import static walkpost.Proxy.MS;
-import static walkpost.Proxy.PAY;
-import static walkpost.Proxy.READ;
-import static walkpost.Proxy.RULES;
-import static walkpost.Proxy.backend;
+import static walkpost.PolicyHarness.LIMITS;
+import static walkpost.PolicyHarness.MS;
+import static walkpost.PolicyHarness.PAY;
+import static walkpost.PolicyHarness.READ;
+import static walkpost.PolicyHarness.RULES;
+import static walkpost.PolicyHarness.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.Fail;
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What happens when more comes than the backends can do. */
-class CrowdTest {
-    private final Proxy proxy = new Proxy();
+class OverloadTest {
+    private final PolicyHarness proxy = new PolicyHarness();
 
     @Test
     void moreThanTheLimitIsHeldAndThenRefusedAtOnce() {
@@ -77,7 +77,7 @@
     @Test
     void aRefusalTellsWhenThereMayBeRoom() {
         long most = 700 * MS;
-        var p = new Proxy(Proxy.settings(new Balancer.Limits(true, false, false, false, 4, most), RULES));
+        var p = new PolicyHarness(PolicyHarness.settings(new Balancer.Limits(true, false, false, false, 4, most), RULES));
         p.list(backend("a"));
         for (int i = 0; i < 20; i++) {
             p.arrive(READ);
@@ -89,7 +89,7 @@
 
     @Test
     void aTenantPastItsShareGivesWay() {
-        var p = new Proxy(Proxy.settings(LIMITS, RULES, new Tenant("greedy", 1), new Tenant("modest", 1000)));
+        var p = new PolicyHarness(PolicyHarness.settings(LIMITS, RULES, new Tenant("greedy", 1), new Tenant("modest", 1000)));
         p.list(backend("a"));
         p.now += 10_000 * MS;
         var held = new ArrayList<String>();
@@ -126,7 +126,7 @@
     @Test
     void aLoneProxyKeepsItsBackendsBusyWhenUnqueuedWorkFillsTheLimit() {
         // One of three, the others gone. An answer takes 200 ms without a queue, more than a fifth of the shortest aim.
-        var p = new Proxy(new Balancer.Settings(3, 0, "a", MS, List.of(READ, Proxy.PAY), List.of(), 1, false, LIMITS, RULES, 1));
+        var p = new PolicyHarness(new Balancer.Settings(3, 0, "a", MS, List.of(READ, PolicyHarness.PAY), List.of(), 1, false, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"));
         var out = new java.util.ArrayDeque<String>();
         int seen = 0;
@@ -150,7 +150,7 @@
 
     @Test
     void twelveProxiesTogetherHoldNoMoreThanOne() {
-        var alone = new Proxy();
+        var alone = new PolicyHarness();
         var oneOfTwelve = oneOf(12);
         var backends = new Balancer.Backend[24];
         for (int i = 0; i < backends.length; i++) {
@@ -164,16 +164,16 @@
     void warmBackendsAreNotSentThePartOfColdOnes() {
         var some = new Balancer.Backend[24];
         var half = new Balancer.Backend[24];
-        long now = new Proxy().now;
+        long now = new PolicyHarness().now;
         for (int i = 0; i < half.length; i++) {
             some[i] = backend("s" + i);
-            half[i] = i % 2 == 0 ? backend("s" + i) : Proxy.started("s" + i, now);
+            half[i] = i % 2 == 0 ? backend("s" + i) : PolicyHarness.started("s" + i, now);
         }
         assertThat(burst(oneOf(6), half)).isBetween(burst(oneOf(6), some) / 2, burst(oneOf(6), some) * 3 / 4);
     }
 
-    private static Proxy oneOf(int proxies) {
-        return new Proxy(new Balancer.Settings(proxies, 0, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+    private static PolicyHarness oneOf(int proxies) {
+        return new PolicyHarness(new Balancer.Settings(proxies, 0, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
     }
 
     @Test
@@ -184,7 +184,7 @@
             backends[i] = backend("s" + i, "std", i % 2 == 0 ? "a" : "b", 1);
         }
         for (int rank = 0; rank < 12; rank++) {
-            var p = new Proxy(new Balancer.Settings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
+            var p = new PolicyHarness(new Balancer.Settings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
             p.list(backends);
             for (int i = 0; i < 6; i++) {
                 gathered.merge(p.lastSend(p.arrive(READ)).backend(), 1, Integer::sum);
@@ -237,17 +237,17 @@
 
     @Test
     void roomGoesToARequestWhoseKeyIsAtHomeThere() {
-        var p = new Proxy(new Balancer.Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
+        var p = new PolicyHarness(new Balancer.Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
         String[] key = new String[60];
         var home = new java.util.HashMap<String, String>();
         for (int i = 0; i < key.length; i++) {
             key[i] = "key" + i;
-            p.feed(new Balancer.Arrival("probe" + i, "read", null, key[i], 2 * Proxy.S, false, 0));
+            p.feed(new Balancer.Arrival("probe" + i, "read", null, key[i], 2 * PolicyHarness.S, false, 0));
             home.put(key[i], p.lastSend("probe" + i).backend());
             p.end("probe" + i, Outcome.OK, MS);
         }
-        p.now += 20 * Proxy.S;
+        p.now += 20 * PolicyHarness.S;
         var out = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             out.add(p.arrive(READ));
@@ -255,9 +255,9 @@
         String freed = p.lastSend(out.get(0)).backend();
         String other = java.util.Arrays.stream(key).filter(k -> !home.get(k).equals(freed)).findFirst().orElseThrow();
         String fits = java.util.Arrays.stream(key).filter(k -> home.get(k).equals(freed)).findFirst().orElseThrow();
-        p.feed(new Balancer.Arrival("other", "read", null, other, 2 * Proxy.S, false, 0));
+        p.feed(new Balancer.Arrival("other", "read", null, other, 2 * PolicyHarness.S, false, 0));
         p.now += MS;
-        p.feed(new Balancer.Arrival("fits", "read", null, fits, 2 * Proxy.S, false, 0));
+        p.feed(new Balancer.Arrival("fits", "read", null, fits, 2 * PolicyHarness.S, false, 0));
         assertThat(p.sends("other") + p.sends("fits")).isZero();
         p.end(out.get(0), Outcome.OK, MS);
         assertThat(p.sends("fits")).isEqualTo(1);
@@ -265,11 +265,11 @@
     }
 
     /** One of 400 proxies at 60 backends: its part of what all may have out is 3 x 60 / 400, under half an attempt. */
-    private static Proxy oneOfHundreds(int rank, Balancer.RequestClass... classes) {
+    private static PolicyHarness oneOfHundreds(int rank, Balancer.RequestClass... classes) {
         var all = classes.length == 0 ? List.of(READ) : List.of(classes);
-        var p = new Proxy(new Balancer.Settings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
+        var p = new PolicyHarness(new Balancer.Settings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
         p.list(java.util.stream.IntStream.range(0, 60).mapToObj(i -> backend("s" + i)).toArray(Balancer.Backend[]::new));
-        p.run(5 * Proxy.S);
+        p.run(5 * PolicyHarness.S);
         return p;
     }
 
@@ -314,8 +314,8 @@
     }
 
     /** Sends in ten seconds with a request every 400 ms that takes all of them. */
-    private static long sentIn(Proxy p) {
-        p.run(10 * Proxy.S);
+    private static long sentIn(PolicyHarness p) {
+        p.run(10 * PolicyHarness.S);
         long before = p.actions.stream().filter(a -> a instanceof Send).count();
         for (int i = 0; i < 25; i++) {
             String id = p.arrive(READ);
@@ -337,7 +337,7 @@
                 p.run(170 * MS);
             }
             long from = p.now;
-            p.feed(new Balancer.Members(Balancer.ListKind.DELTA, List.of(Proxy.started("new", from))));
+            p.feed(new Balancer.Members(Balancer.ListKind.DELTA, List.of(PolicyHarness.started("new", from))));
             for (int i = 0; i < 25; i++) {
                 got += p.serve(READ, 30 * MS).equals("new") ? 1 : 0;
                 p.run(170 * MS);
@@ -353,8 +353,8 @@
         var dear = oneOfHundreds(0, READ, PAY);
         for (var p : List.of(cheap, dear)) {
             String slow = p.arrive(READ);
-            p.run(2 * Proxy.S);
-            p.end(slow, Outcome.TIMEOUT, 2 * Proxy.S);
+            p.run(2 * PolicyHarness.S);
+            p.end(slow, Outcome.TIMEOUT, 2 * PolicyHarness.S);
         }
         assertThat(cheap.sends(cheap.arrive(READ))).isZero();
         assertThat(dear.sends(dear.arrive(PAY))).isEqualTo(1);
@@ -403,7 +403,7 @@
         var p = oneOfHundreds(0);
         for (int i = 0; i < 20; i++) {
             p.serve(READ, 200 * MS);
-            p.run(Proxy.S);
+            p.run(PolicyHarness.S);
         }
         String busy = p.arrive(READ);
         p.now += MS;
@@ -433,12 +433,12 @@
         assertThat(p.serve(READ, 20 * MS)).isNotEqualTo(slow);
         for (int i = 0; i < 30; i++) {
             p.serve(READ, 20 * MS);
-            p.run(2 * Proxy.S);
+            p.run(2 * PolicyHarness.S);
         }
         assertThat(p.serve(READ, 20 * MS)).as("its own answers are forgotten in time").isEqualTo(slow);
     }
 
-    private static long burst(Proxy p, Balancer.Backend... backends) {
+    private static long burst(PolicyHarness p, Balancer.Backend... backends) {
         p.list(backends);
         for (int i = 0; i < 100; i++) {
             p.arrive(READ);
--- a/proxy/src/test/java/walkpost/Proxy.java
+++ b/proxy/src/test/java/walkpost/PolicyHarness.java
@@ -27,7 +27,7 @@
 import java.util.Set;
 
 /** A proxy for tests: it feeds one module by hand and keeps what the module asked for. */
-final class Proxy {
+final class PolicyHarness {
     static final long MS = 1_000;
     static final long S = 1_000_000;
 
@@ -53,11 +53,11 @@
     private final Set<SetTimer> fired = new HashSet<>();
     private int nextId;
 
-    Proxy(Settings settings) {
+    PolicyHarness(Settings settings) {
         policy = new Policy(settings);
     }
 
-    Proxy() {
+    PolicyHarness() {
         this(settings(LIMITS, RULES));
     }
 
--- a/proxy/src/test/java/walkpost/ModuleShapeTest.java
+++ b/proxy/src/test/java/walkpost/PolicyScalingTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** How the module's state and work grow with servers and tenants: counted, as no clock tells a slope from a busy machine. */
-class ModuleShapeTest {
+class PolicyScalingTest {
     private static final long PAUSE = 1_000;
 
     private static Settings settings(int tenants) {
@@ -27,25 +27,25 @@
         for (int i = 0; i < tenants; i++) {
             shares.add(new Tenant("t" + i, 1_000_000));
         }
-        return Proxy.settings(Proxy.LIMITS, Proxy.RULES, shares.toArray(Tenant[]::new));
+        return PolicyHarness.settings(PolicyHarness.LIMITS, PolicyHarness.RULES, shares.toArray(Tenant[]::new));
     }
 
-    private static Proxy proxy(int servers, int tenants) {
-        var proxy = new Proxy(settings(tenants));
+    private static PolicyHarness proxy(int servers, int tenants) {
+        var proxy = new PolicyHarness(settings(tenants));
         var list = new Backend[servers];
         for (int i = 0; i < servers; i++) {
-            list[i] = Proxy.backend("s" + i);
+            list[i] = PolicyHarness.backend("s" + i);
         }
         proxy.list(list);
         return proxy;
     }
 
     /** Each tenant and class once, a moment after the other. */
-    private static void once(Proxy proxy, int tenants, Outcome outcome) {
+    private static void once(PolicyHarness proxy, int tenants, Outcome outcome) {
         for (int i = 0; i < tenants; i++) {
-            String id = proxy.arrive(Proxy.VOTE, "t" + i);
-            proxy.now += Proxy.MS;
-            proxy.feed(new AttemptEnded(id, 0, proxy.lastSend(id).backend(), outcome, Proxy.MS, true));
+            String id = proxy.arrive(PolicyHarness.VOTE, "t" + i);
+            proxy.now += PolicyHarness.MS;
+            proxy.feed(new AttemptEnded(id, 0, proxy.lastSend(id).backend(), outcome, PolicyHarness.MS, true));
         }
     }
 
@@ -54,75 +54,75 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 40, 160, 640})
     void flowsThatAreAtRestAreNotKept(int tenants) {
-        Proxy proxy = proxy(40, tenants);
+        PolicyHarness proxy = proxy(40, tenants);
         once(proxy, tenants, Outcome.OK);
-        assertThat(proxy.policy.flowsKept()).isZero();
+        assertThat(proxy.policy.trackedFlows()).isZero();
         for (int i = 0; i < 10; i++) {
-            proxy.arrive(Proxy.READ, "t" + i);
+            proxy.arrive(PolicyHarness.READ, "t" + i);
         }
-        assertThat(proxy.policy.flowsKept()).as("with so many requests out").isEqualTo(10);
+        assertThat(proxy.policy.trackedFlows()).as("with so many requests out").isEqualTo(10);
     }
 
     @Test
     void flowsThatFailedAreKeptOnceEach() {
-        Proxy proxy = proxy(40, 100);
+        PolicyHarness proxy = proxy(40, 100);
         once(proxy, 100, Outcome.ERROR);
-        assertThat(proxy.policy.flowsKept()).isPositive().isLessThanOrEqualTo(100);
+        assertThat(proxy.policy.trackedFlows()).isPositive().isLessThanOrEqualTo(100);
         once(proxy, 100, Outcome.ERROR);
-        assertThat(proxy.policy.flowsKept()).isLessThanOrEqualTo(200);
+        assertThat(proxy.policy.trackedFlows()).isLessThanOrEqualTo(200);
     }
 
     @Test
     void theOldestFailuresAreForgivenWhereTooManyAreKept() {
-        var putOff = new PutOff(4);
-        var servers = List.of(new FlowTrusts(putOff), new FlowTrusts(putOff));
+        var ejectedFlows = new EjectedFlows(4);
+        var servers = List.of(new FlowOutlierDetectors(ejectedFlows), new FlowOutlierDetectors(ejectedFlows));
         for (int i = 0; i < 10; i++) {
-            servers.get(i % 2).judge("f" + i, false, i, PAUSE);
-            assertThat(putOff.size()).isLessThanOrEqualTo(4);
+            servers.get(i % 2).recordResult("f" + i, false, i, PAUSE);
+            assertThat(ejectedFlows.size()).isLessThanOrEqualTo(4);
         }
         assertThat(servers.get(0).size() + servers.get(1).size()).isEqualTo(4);
         for (int i = 0; i < 10; i++) {
-            assertThat(servers.get(i % 2).hold("f" + i, 10, PAUSE)).as("flow %d", i).isEqualTo(i < 6);
+            assertThat(servers.get(i % 2).isEligible("f" + i, 10, PAUSE)).as("flow %d", i).isEqualTo(i < 6);
         }
     }
 
     @Test
     void oneThatFailsAgainIsAYoungOne() {
-        var putOff = new PutOff(2);
-        var server = new FlowTrusts(putOff);
-        server.judge("a", false, 1, PAUSE);
-        server.judge("b", false, 2, PAUSE);
-        server.judge("a", false, 3, PAUSE);
-        server.judge("c", false, 4, PAUSE);
-        assertThat(server.hold("a", 5, PAUSE)).isFalse();
-        assertThat(server.hold("b", 5, PAUSE)).isTrue();
+        var ejectedFlows = new EjectedFlows(2);
+        var server = new FlowOutlierDetectors(ejectedFlows);
+        server.recordResult("a", false, 1, PAUSE);
+        server.recordResult("b", false, 2, PAUSE);
+        server.recordResult("a", false, 3, PAUSE);
+        server.recordResult("c", false, 4, PAUSE);
+        assertThat(server.isEligible("a", 5, PAUSE)).isFalse();
+        assertThat(server.isEligible("b", 5, PAUSE)).isTrue();
     }
 
     @Test
     void oneThatGoesWellAgainLeavesNothing() {
-        var putOff = new PutOff(2);
-        var server = new FlowTrusts(putOff);
-        server.judge("a", false, 0, PAUSE);
-        server.judge("a", false, 2 * PAUSE, PAUSE);
-        server.judge("a", true, 9 * PAUSE, PAUSE);
+        var ejectedFlows = new EjectedFlows(2);
+        var server = new FlowOutlierDetectors(ejectedFlows);
+        server.recordResult("a", false, 0, PAUSE);
+        server.recordResult("a", false, 2 * PAUSE, PAUSE);
+        server.recordResult("a", true, 9 * PAUSE, PAUSE);
         assertThat(server.size()).as("half of its pause is left").isEqualTo(1);
-        server.judge("a", true, 9 * PAUSE, PAUSE);
-        assertThat(server.size() + putOff.size()).isZero();
+        server.recordResult("a", true, 9 * PAUSE, PAUSE);
+        assertThat(server.size() + ejectedFlows.size()).isZero();
     }
 
     /** Its silence goes on counting, as that of any other. */
     @Test
     void aForgivenFlowKeepsItsAttempts() {
-        var putOff = new PutOff(1);
-        var server = new FlowTrusts(putOff);
-        server.sent("a", 0);
-        server.sent("a", 0);
-        server.ended("a", 1, true);
-        server.judge("a", false, 1, PAUSE);
-        server.judge("b", false, 2, PAUSE);
-        assertThat(server.hold("a", 3, PAUSE)).as("forgiven").isTrue();
-        assertThat(server.hold("a", 2 * PAUSE, PAUSE)).as("silent").isFalse();
-        server.ended("a", 2 * PAUSE, true);
+        var ejectedFlows = new EjectedFlows(1);
+        var server = new FlowOutlierDetectors(ejectedFlows);
+        server.attemptSent("a", 0);
+        server.attemptSent("a", 0);
+        server.attemptEnded("a", 1, true);
+        server.recordResult("a", false, 1, PAUSE);
+        server.recordResult("b", false, 2, PAUSE);
+        assertThat(server.isEligible("a", 3, PAUSE)).as("forgiven").isTrue();
+        assertThat(server.isEligible("a", 2 * PAUSE, PAUSE)).as("silent").isFalse();
+        server.attemptEnded("a", 2 * PAUSE, true);
         assertThat(server.size()).isEqualTo(1);
     }
 
@@ -160,8 +160,8 @@
         for (int i = 0; i < tenants; i++) {
             items.add(i);
         }
-        Map<Name, Integer> first = Shares.carriedOver(new HashMap<>(), items, i -> new Name(i, asked), (i, before) -> i);
-        Map<Name, Integer> next = Shares.carriedOver(first, items, i -> new Name(i, asked), (i, before) -> before + 1);
+        Map<Name, Integer> first = TenantShares.rebuild(new HashMap<>(), items, i -> new Name(i, asked), (i, before) -> i);
+        Map<Name, Integer> next = TenantShares.rebuild(first, items, i -> new Name(i, asked), (i, before) -> before + 1);
         assertThat(next).hasSize(tenants);
         assertThat(asked[0]).isLessThanOrEqualTo(6 * tenants);
     }
@@ -172,7 +172,7 @@
     }
 
     private static long reloadBytes(int tenants) {
-        Proxy proxy = proxy(10, tenants);
+        PolicyHarness proxy = proxy(10, tenants);
         var next = new Retuned(settings(tenants));
         proxy.feed(next);
         return allocated(() -> proxy.feed(next));
@@ -185,12 +185,12 @@
     }
 
     private static long requestBytes(int servers) {
-        Proxy proxy = proxy(servers, 200);
+        PolicyHarness proxy = proxy(servers, 200);
         once(proxy, 200, Outcome.OK);
         return allocated(() -> {
             for (int i = 0; i < 50; i++) {
-                String id = proxy.arrive(Proxy.READ, "t" + i);
-                proxy.feed(new AttemptEnded(id, 0, "", Outcome.OK, Proxy.MS, true));
+                String id = proxy.arrive(PolicyHarness.READ, "t" + i);
+                proxy.feed(new AttemptEnded(id, 0, "", Outcome.OK, PolicyHarness.MS, true));
             }
         }) / 50;
     }
--- a/proxy/src/test/java/walkpost/LedgerTest.java
+++ b/proxy/src/test/java/walkpost/RandomizedRulesTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Random legal events, with the rules checked by books of the test's own. */
-class LedgerTest {
+class RandomizedRulesTest {
     private static final long TICK = 4_000;
 
     @ParameterizedTest
--- a/proxy/src/test/java/walkpost/RulesTest.java
+++ b/proxy/src/test/java/walkpost/RulesTest.java
@@ -1,15 +1,15 @@
 package walkpost;
 
-import static walkpost.Proxy.BOOK;
-import static walkpost.Proxy.LIMITS;
-import static walkpost.Proxy.MS;
-import static walkpost.Proxy.NOTE;
-import static walkpost.Proxy.PAY;
-import static walkpost.Proxy.READ;
-import static walkpost.Proxy.RULES;
-import static walkpost.Proxy.S;
-import static walkpost.Proxy.VOTE;
-import static walkpost.Proxy.backend;
+import static walkpost.PolicyHarness.BOOK;
+import static walkpost.PolicyHarness.LIMITS;
+import static walkpost.PolicyHarness.MS;
+import static walkpost.PolicyHarness.NOTE;
+import static walkpost.PolicyHarness.PAY;
+import static walkpost.PolicyHarness.READ;
+import static walkpost.PolicyHarness.RULES;
+import static walkpost.PolicyHarness.S;
+import static walkpost.PolicyHarness.VOTE;
+import static walkpost.PolicyHarness.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.Action;
@@ -34,7 +34,7 @@
 
 /** The rules, one group each. */
 class RulesTest {
-    private final Proxy proxy = new Proxy();
+    private final PolicyHarness proxy = new PolicyHarness();
 
     @Nested
     class NoRequestIsLost {
@@ -84,7 +84,7 @@
 
         @Test
         void withoutLeaveToCancelNothingIsCancelled() {
-            var p = new Proxy(Proxy.settings(new Limits(false, false, false, false, 4, 0), RULES));
+            var p = new PolicyHarness(PolicyHarness.settings(new Limits(false, false, false, false, 4, 0), RULES));
             p.list(backend("a"));
             String id = p.arrive(READ);
             assertThat(p.feed(new ClientGone(id))).isEmpty();
@@ -166,7 +166,7 @@
         void aKeyedRequestIsNotSentAgainPastItsWindow() {
             var shortWindow = new Balancer.RequestClass("pay", 600 * MS, 2 * S, 10, 0, Balancer.Effect.KEYED,
                     Balancer.Scope.ZONE, 100 * MS);
-            var p = new Proxy(new Balancer.Settings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES,
+            var p = new PolicyHarness(new Balancer.Settings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES,
                     1));
             p.list(backend("a"), backend("b"));
             String id = p.arrive(shortWindow);
@@ -217,8 +217,8 @@
 
     @Nested
     class FullIsNoProofWhereTheRulesSaySo {
-        private final Proxy doubting =
-                new Proxy(Proxy.settings(LIMITS, new Rules(0.4, 8 * S, 4, S, 10 * S, true)));
+        private final PolicyHarness doubting =
+                new PolicyHarness(PolicyHarness.settings(LIMITS, new Rules(0.4, 8 * S, 4, S, 10 * S, true)));
 
         @Test
         void anUnsafeRequestIsNeitherSentAgainNorRefused() {
@@ -259,7 +259,7 @@
         void idleOnesAtTheNoticeAndTheLastOnceItsAttemptHasEnded() {
             proxy.list(backend("a"));
             String id = proxy.arrive(VOTE);
-            assertThat(proxy.feed(new Members(ListKind.DELTA, List.of(Proxy.in(State.DRAINING, "a")))))
+            assertThat(proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.in(State.DRAINING, "a")))))
                     .containsExactly(new Release("a"));
             assertThat(proxy.end(id, Outcome.OK, MS)).containsExactly(new Release("a"));
         }
@@ -270,7 +270,7 @@
             String id = proxy.arrive(READ);
             String to = proxy.lastSend(id).backend();
             proxy.feed(new ClientGone(id));
-            proxy.feed(new Members(ListKind.DELTA, List.of(Proxy.in(State.DRAINING, to))));
+            proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.in(State.DRAINING, to))));
             assertThat(proxy.end(id, Outcome.CANCELLED, MS)).containsExactly(new Release(to));
         }
 
@@ -288,7 +288,7 @@
         @Test
         void aDrainingOrLostBackendGetsNothingNew() {
             proxy.list(backend("a"), backend("b"), backend("c"));
-            proxy.feed(new Members(ListKind.DELTA, List.of(Proxy.in(State.DRAINING, "a"), Proxy.in(State.GONE, "b"))));
+            proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.in(State.DRAINING, "a"), PolicyHarness.in(State.GONE, "b"))));
             for (int i = 0; i < 10; i++) {
                 assertThat(proxy.serve(READ, MS)).isEqualTo("c");
             }
@@ -306,14 +306,14 @@
         @Test
         void aListWhereAllDrainLeavesNothingToSendTo() {
             proxy.list(backend("a"));
-            proxy.list(Proxy.in(State.DRAINING, "a"));
+            proxy.list(PolicyHarness.in(State.DRAINING, "a"));
             String id = proxy.arrive(READ);
             assertThat(proxy.sends(id)).isZero();
         }
 
         @Test
         void aDrainedBackendMayComeBack() {
-            proxy.list(Proxy.in(State.DRAINING, "a"));
+            proxy.list(PolicyHarness.in(State.DRAINING, "a"));
             proxy.feed(new Members(ListKind.DELTA, List.of(backend("a"))));
             assertThat(proxy.serve(READ, MS)).isEqualTo("a");
         }
@@ -321,7 +321,7 @@
         @Test
         void aBackendThatDrainsAndComesBackInOneUpdateIsListedOnce() {
             proxy.list(backend("a"), backend("b"));
-            proxy.feed(new Members(ListKind.DELTA, List.of(Proxy.in(State.DRAINING, "a"), backend("a"))));
+            proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.in(State.DRAINING, "a"), backend("a"))));
             int toA = 0;
             for (int i = 0; i < 12; i++) {
                 toA += proxy.serve(READ, MS).equals("a") ? 1 : 0;
@@ -331,7 +331,7 @@
 
         @Test
         void aListThatMustBeAskedForIsAskedForAtOnceAndAgainAfterAFailure() {
-            var p = new Proxy(Proxy.settings(new Limits(true, false, false, true, 4, 0), RULES));
+            var p = new PolicyHarness(PolicyHarness.settings(new Limits(true, false, false, true, 4, 0), RULES));
             assertThat(p.feed(new Members(ListKind.CACHED, List.of(backend("a"))))).contains(new Watch(true));
             List<Action> after = p.feed(new Members(ListKind.FAILED, List.of()));
             SetTimer timer = (SetTimer) after.get(0);
@@ -343,8 +343,8 @@
 
         @Test
         void proxiesDoNotAskAgainInStep() {
-            var p = new Proxy(Proxy.settings(new Limits(true, false, false, true, 4, 0), RULES));
-            var q = new Proxy(new Balancer.Settings(1, 0, "a", MS, List.of(READ), List.of(), 1, false,
+            var p = new PolicyHarness(PolicyHarness.settings(new Limits(true, false, false, true, 4, 0), RULES));
+            var q = new PolicyHarness(new Balancer.Settings(1, 0, "a", MS, List.of(READ), List.of(), 1, false,
                     new Limits(true, false, false, true, 4, 0), RULES, 8));
             assertThat(p.feed(new Members(ListKind.FAILED, List.of())))
                     .doesNotContainAnyElementsOf(q.feed(new Members(ListKind.FAILED, List.of())).stream()
@@ -377,7 +377,7 @@
         }
 
         private int sentInOneSecond(Outcome outcome) {
-            proxy.list(Proxy.started("cold", proxy.now));
+            proxy.list(PolicyHarness.started("cold", proxy.now));
             int before = proxy.actions.size();
             for (int i = 0; i < 1000; i++) {
                 proxy.now += MS;
@@ -394,7 +394,7 @@
 
         @Test
         void oneOfManyProxiesMayStillSendItWhatItsLikeBear() {
-            var p = new Proxy(new Balancer.Settings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+            var p = new PolicyHarness(new Balancer.Settings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
             var backends = new Balancer.Backend[4];
             for (int i = 0; i < 4; i++) {
                 backends[i] = backend("s" + i);
@@ -403,7 +403,7 @@
             for (int i = 0; i < 3000; i++) {
                 p.serve(READ, 10 * MS);
             }
-            backends[3] = Proxy.started("s3", p.now);
+            backends[3] = PolicyHarness.started("s3", p.now);
             p.list(backends);
             int toCold = 0;
             for (int i = 0; i < 200; i++) {
@@ -419,7 +419,7 @@
             for (int i = 0; i < 100; i++) {
                 proxy.serve(READ, 50 * MS);
             }
-            proxy.list(Proxy.started("a", proxy.now));
+            proxy.list(PolicyHarness.started("a", proxy.now));
             long sent = 0;
             for (int i = 0; i < 100; i++) {
                 String id = proxy.arrive(READ);
@@ -433,7 +433,7 @@
 
         @Test
         void itIsWarmInTheEnd() {
-            proxy.list(Proxy.started("a", proxy.now - RULES.coldUs()));
+            proxy.list(PolicyHarness.started("a", proxy.now - RULES.coldUs()));
             for (int i = 0; i < 100; i++) {
                 assertThat(proxy.serve(READ, 0)).isEqualTo("a");
             }
--- a/proxy/src/test/java/walkpost/PickTest.java
+++ b/proxy/src/test/java/walkpost/ServerSelectionTest.java
@@ -1,10 +1,10 @@
 package walkpost;
 
-import static walkpost.Proxy.MS;
-import static walkpost.Proxy.READ;
-import static walkpost.Proxy.S;
-import static walkpost.Proxy.VOTE;
-import static walkpost.Proxy.backend;
+import static walkpost.PolicyHarness.MS;
+import static walkpost.PolicyHarness.READ;
+import static walkpost.PolicyHarness.S;
+import static walkpost.PolicyHarness.VOTE;
+import static walkpost.PolicyHarness.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.Backend;
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /** The earliest-deadline order and its weights. */
-class PickTest {
-    private final Proxy proxy = new Proxy();
+class ServerSelectionTest {
+    private final PolicyHarness proxy = new PolicyHarness();
 
     @Test
     void worksThePapersTwoEndpointExample() {
@@ -82,7 +82,7 @@
         int failed = 0;
         for (int i = 0; i < 300; i++) {
             reads.merge(proxy.serve(READ, 10 * MS), 1, Integer::sum);
-            String id = proxy.arrive(Proxy.VOTE);
+            String id = proxy.arrive(PolicyHarness.VOTE);
             proxy.now += 10 * MS;
             boolean ill = proxy.lastSend(id).backend().equals("a");
             failed += ill ? 1 : 0;
@@ -100,7 +100,7 @@
     void aClassThatFailsEverywhereIsSentAllTheSame() {
         proxy.list(backend("a"), backend("b"));
         for (int i = 0; i < 20; i++) {
-            String id = proxy.arrive(Proxy.VOTE);
+            String id = proxy.arrive(PolicyHarness.VOTE);
             assertThat(proxy.sends(id)).isEqualTo(1);
             proxy.now += 10 * MS;
             proxy.end(id, Outcome.ERROR, 10 * MS);
@@ -222,7 +222,7 @@
         var backends = new Backend[] {backend("a"), backend("b"), backend("c"), backend("d")};
         var homes = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
-            var p = new Proxy(new Balancer.Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, Proxy.LIMITS, Proxy.RULES,
+            var p = new PolicyHarness(new Balancer.Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, PolicyHarness.LIMITS, PolicyHarness.RULES,
                     seed));
             p.list(backends);
             for (int i = 0; i < 40; i++) {
@@ -260,11 +260,11 @@
 
     @Test
     void equalEventsGiveEqualActions() {
-        var other = new Proxy();
-        for (Proxy p : List.of(proxy, other)) {
-            p.list(backend("a"), backend("b", "k", "b", 2), Proxy.started("c", p.now - S));
+        var other = new PolicyHarness();
+        for (PolicyHarness p : List.of(proxy, other)) {
+            p.list(backend("a"), backend("b", "k", "b", 2), PolicyHarness.started("c", p.now - S));
             for (int i = 0; i < 300; i++) {
-                p.serve(i % 3 == 0 ? Proxy.PAY : READ, (i * 7919L % 40 + 1) * MS);
+                p.serve(i % 3 == 0 ? PolicyHarness.PAY : READ, (i * 7919L % 40 + 1) * MS);
             }
         }
         assertThat(proxy.actions).isEqualTo(other.actions);
@@ -272,7 +272,7 @@
 
     @Test
     void aBackendThatCannotBeReachedIsTriedEverMoreSeldom() {
-        var p = new Proxy();
+        var p = new PolicyHarness();
         p.list(backend("a"), backend("b"), backend("c"), backend("lost"));
         int tried = 0;
         for (int i = 0; i < 600; i++) {
@@ -290,7 +290,7 @@
 
     @Test
     void ifNearlyNoneCanBeReachedAllAreTriedOn() {
-        var p = new Proxy();
+        var p = new PolicyHarness();
         p.list(backend("a"), backend("b"));
         for (int i = 0; i < 20; i++) {
             String id = p.arrive(VOTE);
@@ -304,7 +304,7 @@
 
     @Test
     void aBackendThatErrsAtTimesIsTriedOn() {
-        var p = new Proxy();
+        var p = new PolicyHarness();
         p.list(backend("a"), backend("b"), backend("c"), backend("errs"));
         int toErring = 0;
         for (int i = 0; i < 4000; i++) {
--- a/proxy/src/test/java/walkpost/RetuneTest.java
+++ b/proxy/src/test/java/walkpost/SettingsChangeTest.java
@@ -1,12 +1,12 @@
 package walkpost;
 
-import static walkpost.Proxy.LIMITS;
-import static walkpost.Proxy.MS;
-import static walkpost.Proxy.PAY;
-import static walkpost.Proxy.READ;
-import static walkpost.Proxy.RULES;
-import static walkpost.Proxy.S;
-import static walkpost.Proxy.backend;
+import static walkpost.PolicyHarness.LIMITS;
+import static walkpost.PolicyHarness.MS;
+import static walkpost.PolicyHarness.PAY;
+import static walkpost.PolicyHarness.READ;
+import static walkpost.PolicyHarness.RULES;
+import static walkpost.PolicyHarness.S;
+import static walkpost.PolicyHarness.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.Effect;
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Settings that change under the module. */
-class RetuneTest {
-    private final Proxy proxy = new Proxy(settings(LIMITS, READ, PAY));
+class SettingsChangeTest {
+    private final PolicyHarness proxy = new PolicyHarness(settings(LIMITS, READ, PAY));
 
     private static Settings settings(Limits limits, RequestClass... classes) {
         return new Settings(1, 0, "a", 4 * MS, List.of(classes), List.of(new Tenant("t", 1_000)), 0.05, false, limits, RULES, 7);
--- a/proxy/src/test/java/walkpost/ColdFleetTest.java
+++ b/proxy/src/test/java/walkpost/SlowStartFleetTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Rule 4 over a whole fleet on one clock: proxies that say nothing to each other, and the sum of what they send. */
-class ColdFleetTest {
+class SlowStartFleetTest {
     private static final int SEEDS = 20;
     private static final int WARM = 10;
 
     private final List<Long> sends = new ArrayList<>();
-    private final List<Proxy> fleet = new ArrayList<>();
+    private final List<PolicyHarness> fleet = new ArrayList<>();
     private Random random;
     private Rules rules;
-    private long now = 1000 * Proxy.S;
+    private long now = 1000 * PolicyHarness.S;
     /** A warm backend does one request after the other, each in so long. */
     private long requestUs;
 
@@ -38,15 +38,15 @@
         }
     }
 
-    private Proxy proxy(int rank, int proxies) {
-        return new Proxy(new Settings(proxies, rank, "a", Proxy.MS, List.of(Proxy.READ), List.of(), 1, false, Proxy.LIMITS, rules,
+    private PolicyHarness proxy(int rank, int proxies) {
+        return new PolicyHarness(new Settings(proxies, rank, "a", PolicyHarness.MS, List.of(PolicyHarness.READ), List.of(), 1, false, PolicyHarness.LIMITS, rules,
                 random.nextLong()));
     }
 
     private void start(int proxies, double coldFrom, long requestMs, long seed) {
-        requestUs = requestMs * Proxy.MS;
+        requestUs = requestMs * PolicyHarness.MS;
         random = new Random(seed);
-        rules = new Rules(coldFrom, 40 * Proxy.S, 3, Proxy.S, 10 * Proxy.S, false);
+        rules = new Rules(coldFrom, 40 * PolicyHarness.S, 3, PolicyHarness.S, 10 * PolicyHarness.S, false);
         fleet.clear();
         sends.clear();
         for (int rank = 0; rank < proxies; rank++) {
@@ -58,13 +58,13 @@
     private static List<Balancer.Backend> warm() {
         var backends = new ArrayList<Balancer.Backend>();
         for (int i = 0; i < WARM; i++) {
-            backends.add(Proxy.backend("s" + i));
+            backends.add(PolicyHarness.backend("s" + i));
         }
         return backends;
     }
 
     private void list(List<Balancer.Backend> backends) {
-        for (Proxy p : fleet) {
+        for (PolicyHarness p : fleet) {
             p.now = now;
             p.feed(new Members(ListKind.FULL, backends));
         }
@@ -82,16 +82,16 @@
 
     /** All proxies are asked for more than the warm ones may have, all in the same moment. */
     private void rush() {
-        for (Proxy p : fleet) {
+        for (PolicyHarness p : fleet) {
             for (int i = 0; i < 2 * WARM; i++) {
                 serve(p);
             }
         }
     }
 
-    private void serve(Proxy p) {
+    private void serve(PolicyHarness p) {
         p.now = now;
-        String id = p.arrive(Proxy.READ);
+        String id = p.arrive(PolicyHarness.READ);
         for (Send s = p.lastSend(id); s != null && p.sends(id) == 1; s = null) {
             if (s.backend().equals("cold")) {
                 sends.add(now);
@@ -102,7 +102,7 @@
 
     private long coldOneStarts() {
         var backends = warm();
-        backends.add(Proxy.started("cold", now));
+        backends.add(PolicyHarness.started("cold", now));
         list(backends);
         return now;
     }
@@ -113,9 +113,9 @@
         int sent = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             start(proxies, coldFrom, requestMs, seed);
-            traffic(5 * Proxy.S);
+            traffic(5 * PolicyHarness.S);
             long startedAt = coldOneStarts();
-            traffic(5 * Proxy.S);
+            traffic(5 * PolicyHarness.S);
             rush();
             assertNeverMoreThanChance(startedAt);
             sent += sends.size();
@@ -129,9 +129,9 @@
     void soItDoesAfterALull(int proxies, double coldFrom, long requestMs) {
         for (int seed = 0; seed < SEEDS; seed++) {
             start(proxies, coldFrom, requestMs, seed);
-            traffic(5 * Proxy.S);
+            traffic(5 * PolicyHarness.S);
             long startedAt = coldOneStarts();
-            now += 12 * Proxy.S;
+            now += 12 * PolicyHarness.S;
             rush();
             assertNeverMoreThanChance(startedAt);
         }
@@ -143,16 +143,16 @@
     void soItDoesWhereAllProxiesAreRestarted(int proxies, double coldFrom, long requestMs) {
         for (int seed = 0; seed < SEEDS; seed++) {
             start(proxies, coldFrom, requestMs, seed);
-            traffic(5 * Proxy.S);
+            traffic(5 * PolicyHarness.S);
             long startedAt = coldOneStarts();
-            now += 12 * Proxy.S;
+            now += 12 * PolicyHarness.S;
             rush();
-            now += Proxy.S / 2;
+            now += PolicyHarness.S / 2;
             fleet.replaceAll(p -> proxy(fleet.indexOf(p), proxies));
             var backends = warm();
-            backends.add(Proxy.started("cold", startedAt));
+            backends.add(PolicyHarness.started("cold", startedAt));
             list(backends);
-            now += Proxy.S / 4;
+            now += PolicyHarness.S / 4;
             rush();
             assertNeverMoreThanChance(startedAt);
         }
--- a/proxy/src/test/java/walkpost/wire/HostTest.java
+++ b/proxy/src/test/java/walkpost/wire/InstanceHostTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The wire: round trips, several instances, and plain messages about malformed input. */
-class HostTest {
+class InstanceHostTest {
     private static final String SETUP = "balancers=3 rank=2 bounds.cancel=true bounds.may_duplicate=false bounds.most_tries=4 "
             + "bounds.probes=false bounds.max_retry_after_us=2000000 registry_mode=on_request locality=skoyen "
             + "quantum_us=4000 invariants.cold_from=0.4 invariants.cold_us=8100000 invariants.fall_multiple=4.0 "
@@ -37,7 +37,7 @@
     private final List<Balancer.Action> actions = new ArrayList<>();
 
     private int run(String input) throws IOException {
-        return new Host(s -> {
+        return new InstanceHost(s -> {
             settings.add(s);
             return (now, event, sink) -> {
                 events.add(event);
@@ -130,19 +130,20 @@
     void aFailureOfTheModulePanicsThatInstanceAndSaysWhere() throws IOException {
         assertThat(run(batch(UP, "deadline_hit who=3 ctx=boom\n"))).isZero();
         assertThat(written()).startsWith("panic who=3 message=java.lang.IllegalStateException: out of order at walkpost")
-                .endsWith("\nok\n").contains("HostTest.java:");
+                .endsWith("\nok\n").contains("InstanceHostTest.java:");
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "hangup who=3| hangup: missing field 'op_id'",
         "hangup op_id=1| hangup: missing field 'who'",
-        "hangup who=x op_id=1| hangup: bad number 'x' in 'who'",
-        "hangup who=4 op_id=1| 'hangup' for instance 4, which is not up",
+        "hangup who=x op_id=1| hangup: field 'who' is 'x', expected a whole number",
+        "hangup who=4 op_id=1| event 'hangup' for instance 4, which is not up",
         "wave who=3| unknown event 'wave'",
-        "hangup who=3 op_id| malformed field 'op_id'",
-        "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=odd| completed: unknown value 'odd' in 'how'",
-        "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=shed last=2| completed: bad bool '2' in 'last'",
+        "hangup who=3 op_id| malformed field 'op_id', expected key=value",
+        "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=odd| completed: unknown value 'odd' in 'how', "
+            + "expected one of [app_error, delivered, dial_failed, dropped, expired, revoked, shed, unused]",
+        "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=shed last=2| completed: field 'last' is '2', expected 0, 1, false or true",
         "update who=3 form=whole nodes_list=1| expected 'entry', found 'commit'",
         "batch wall_us=2| batch: missing field 'who'"})
     void saysWhatIsMalformedAndWhere(String line, String message) throws IOException {
@@ -175,10 +176,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"balancers=3,balancers=0,invalid setting: balancers",
-        "profiles.0.aim_us=400000,profiles.0.aim_us=-1,invalid setting: aim of class pay",
-        "bounds.cancel=true,bounds.cancel=maybe,unknown value 'maybe' in setting 'bounds.cancel'",
-        "quantum_us=4000,quantum_us=4.5,bad number '4.5' in setting 'quantum_us'"})
+    @CsvSource(delimiter = '|', value = {
+        "balancers=3| balancers=0| invalid setting: balancers is 0, expected 1 or more",
+        "profiles.0.aim_us=400000| profiles.0.aim_us=-1| invalid setting: aim of class pay is -1, expected more than 0 us",
+        "bounds.cancel=true| bounds.cancel=maybe| unknown value 'maybe' in setting 'bounds.cancel'",
+        "quantum_us=4000| quantum_us=4.5| setting 'quantum_us' is '4.5', expected a whole number"})
     void namesASettingThatCannotBe(String good, String bad, String message) throws IOException {
         assertThat(run(batch(UP.replace(good, bad)))).isEqualTo(1);
         assertThat(complaint()).isEqualTo("line 2: up: " + message);
