--- a/proxy/src/test/java/walkpost/DecisionTraceTest.java
+++ b/proxy/src/test/java/walkpost/DecisionTraceTest.java
@@ -38,11 +38,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every action of seeded drives, in their order, to what the module did before its flows became sparse. Who changes a
- * decision on purpose records the figures anew and says so; who only moves code finds them as they are.
+ * Guards against unintended changes of a decision: compares the hash of all actions of a few seeded runs, in their order, with recorded
+ * figures. The figures date from before idle flows were no longer stored. A change that alters a decision on purpose records new figures
+ * and says so; a change that only moves code leaves them as they are. The hash covers the names of the action records and of their
+ * components.
  */
 class DecisionTraceTest {
-    private static final List<RequestClass> CLASSES = List.of(PolicyHarness.READ, PolicyHarness.PAY, PolicyHarness.BOOK, PolicyHarness.NOTE, PolicyHarness.VOTE);
+    private static final List<RequestClass> CLASSES =
+            List.of(PolicyHarness.READ, PolicyHarness.PAY, PolicyHarness.BOOK, PolicyHarness.NOTE, PolicyHarness.VOTE);
     private static final Outcome[] FAILURES = {Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET,
         Outcome.CONNECT_FAILED, Outcome.NOT_SENT};
 
@@ -60,25 +63,25 @@
     private long hash;
     private int actions;
     private int sent;
-    private boolean ill;
+    private boolean failurePeriod;
 
     @ParameterizedTest
     @CsvSource({
-        // seed, proxies, servers, tenants, requests; hash of all actions, their number, sends
+        // seed, proxies, servers, tenants, requests; hash of the actions, number of actions, number of sends
         "1, 1, 6, 3, 6000, 7114761121612679246, 7310, 2066",
         "2, 3, 20, 40, 6000, 1139418182771115462, 6856, 5782",
         "3, 20, 12, 40, 6000, -4060887501799036012, 7214, 919",
         "4, 30, 150, 200, 6000, -1290421389615334926, 6529, 6247",
         "5, 590, 300, 400, 3000, -38729578624472848, 3658, 1289",
     })
-    void actionsAreThoseRecorded(long seed, int proxies, int servers, int tenants, int requests, long expectedHash,
+    void actionsAreAsRecorded(long seed, int proxies, int servers, int tenants, int requests, long expectedHash,
             int expectedActions, int expectedSends) {
-        drive(seed, proxies, servers, tenants, requests);
-        assertThat(List.of(hash, (long) actions, (long) sent)).as("hash of actions, actions, sends")
+        runTraffic(seed, proxies, servers, tenants, requests);
+        assertThat(List.of(hash, (long) actions, (long) sent)).as("hash of the actions, number of actions, number of sends")
                 .isEqualTo(List.of(expectedHash, (long) expectedActions, (long) expectedSends));
     }
 
-    private void drive(long seed, int proxies, int servers, int tenants, int requests) {
+    private void runTraffic(long seed, int proxies, int servers, int tenants, int requests) {
         random = new Random(seed);
         settings = settings(proxies, tenants, seed);
         policy = new Policy(settings);
@@ -87,17 +90,17 @@
             list("s" + i, State.READY, random.nextInt(4) == 0 ? now - random.nextInt(8_000_000) : 0);
         }
         names.addAll(listed.keySet().stream().sorted().toList());
-        feed(new Members(ListKind.FULL, all()));
+        feed(new Members(ListKind.FULL, allListed()));
         for (int i = 0; i < requests; i++) {
             now += random.nextInt(10) == 0 ? random.nextInt(200_000) : random.nextInt(6_000);
-            until(now);
-            ill = i / 500 % 3 == 1;
+            advanceTo(now);
+            failurePeriod = i / 500 % 3 == 1;
             if (random.nextInt(60) == 0) {
-                operate(proxies, tenants, seed);
+                changeListOrSettings(proxies, tenants, seed);
             }
             arrive("r" + i, tenants);
         }
-        until(now + 60 * PolicyHarness.S);
+        advanceTo(now + 60 * PolicyHarness.S);
     }
 
     private Settings settings(int proxies, int tenants, long seed) {
@@ -106,52 +109,52 @@
             shares.add(new Tenant("t" + i, proxies * (0.5 + random.nextInt(20))));
         }
         return new Settings(proxies, proxies / 3, "a", 4 * PolicyHarness.MS, CLASSES, shares, 0.05, true,
-                new Limits(true, false, false, true, 3, PolicyHarness.S), new Rules(0.2, 20 * PolicyHarness.S, 3, PolicyHarness.S, 10 * PolicyHarness.S,
-                seed % 2 == 0), seed);
+                new Limits(true, false, false, true, 3, PolicyHarness.S),
+                new Rules(0.2, 20 * PolicyHarness.S, 3, PolicyHarness.S, 10 * PolicyHarness.S, seed % 2 == 0), seed);
     }
 
-    /** What the list and the operators do, now and then. */
-    private void operate(int proxies, int tenants, long seed) {
+    /** Applies one random change of the list, of the settings or by the operators. */
+    private void changeListOrSettings(int proxies, int tenants, long seed) {
         String name = names.get(random.nextInt(names.size()));
         switch (random.nextInt(7)) {
-            case 0 -> feed(new Members(ListKind.FULL, all()));
+            case 0 -> feed(new Members(ListKind.FULL, allListed()));
             case 1 -> feed(new Members(ListKind.DELTA, List.of(list(name, State.DRAINING, listed.get(name).startedAtUs()))));
             case 2 -> feed(new Members(ListKind.DELTA, List.of(list(name, State.READY, now))));
             case 3 -> feed(new Members(ListKind.FAILED, List.of()));
             case 4 -> feed(new Retuned(settings(proxies, 1 + random.nextInt(tenants), seed)));
             case 5 -> feed(new Excluded(name));
-            default -> names.forEach(n -> feed(new Included(n)));
+            default -> names.forEach(each -> feed(new Included(each)));
         }
     }
 
     private Backend list(String name, State state, long startedAt) {
-        var b = new Backend(name, state, name.hashCode() % 3 == 0 ? "big" : "std", name.hashCode() % 2 == 0 ? "a" : "b",
+        var backend = new Backend(name, state, name.hashCode() % 3 == 0 ? "big" : "std", name.hashCode() % 2 == 0 ? "a" : "b",
                 name.hashCode() % 5, startedAt, 1 + name.hashCode() % 3);
-        listed.put(name, b);
-        return b;
+        listed.put(name, backend);
+        return backend;
     }
 
-    private List<Backend> all() {
+    private List<Backend> allListed() {
         return listed.values().stream().sorted(Comparator.comparing(Backend::id)).toList();
     }
 
     private void arrive(String id, int tenants) {
-        RequestClass type = CLASSES.get(random.nextInt(CLASSES.size()));
+        RequestClass requestClass = CLASSES.get(random.nextInt(CLASSES.size()));
         String tenant = random.nextInt(10) == 0 ? null : "t" + random.nextInt(tenants);
         String key = random.nextInt(3) == 0 ? "k" + random.nextInt(50) : null;
         boolean repeat = random.nextInt(8) == 0;
-        long left = repeat ? type.deadlineUs() / 2 : type.deadlineUs();
-        feed(new Arrival(id, type.name(), tenant, key, left, repeat, random.nextInt(2) * (1_000L + random.nextInt(60_000))));
+        long left = repeat ? requestClass.deadlineUs() / 2 : requestClass.deadlineUs();
+        feed(new Arrival(id, requestClass.name(), tenant, key, left, repeat, random.nextInt(2) * (1_000L + random.nextInt(60_000))));
         if (random.nextInt(100) == 0) {
-            later(random.nextInt(500_000), new ClientGone(id));
+            schedule(random.nextInt(500_000), new ClientGone(id));
         }
     }
 
-    private void later(long inUs, Event event) {
+    private void schedule(long inUs, Event event) {
         due.add(new Due(now + inUs, order++, event));
     }
 
-    private void until(long end) {
+    private void advanceTo(long end) {
         while (!due.isEmpty() && due.peek().at() <= end) {
             Due next = due.poll();
             now = Math.max(now, next.at());
@@ -161,38 +164,41 @@
     }
 
     private void feed(Event event) {
-        var wanted = new ArrayList<Action>();
-        policy.handle(now, event, wanted::add);
-        for (Action a : wanted) {
+        var resulting = new ArrayList<Action>();
+        policy.handle(now, event, resulting::add);
+        for (Action action : resulting) {
             actions++;
-            hash = hash * 0x100000001b3L + a.toString().hashCode();
-            if (a instanceof Send s) {
-                attempt(s);
-            } else if (a instanceof SetTimer t) {
-                due.add(new Due(t.atUs(), order++, new TimerFired(t.token())));
-            } else if (a instanceof Cancel c) {
-                later(0, new AttemptEnded(c.id(), c.attempt(), "", Outcome.CANCELLED, 0, true));
+            hash = hash * 0x100000001b3L + action.toString().hashCode();
+            if (action instanceof Send send) {
+                runAttempt(send);
+            } else if (action instanceof SetTimer timer) {
+                due.add(new Due(timer.atUs(), order++, new TimerFired(timer.token())));
+            } else if (action instanceof Cancel cancel) {
+                schedule(0, new AttemptEnded(cancel.id(), cancel.attempt(), "", Outcome.CANCELLED, 0, true));
             }
         }
     }
 
-    /** A third of the servers are slow; in ill times, every fourth pair of server and tenant fails half of the time. */
-    private void attempt(Send s) {
+    /**
+     * Schedules the events of an attempt. A third of the servers are slow. In a failure period, half of the attempts fail for a quarter of
+     * the pairs of server and request.
+     */
+    private void runAttempt(Send send) {
         sent++;
-        int number = sends.merge(s.id(), 1, Integer::sum) - 1;
-        long tookUs = (s.backend().hashCode() % 3 == 0 ? 40_000 : 8_000) + random.nextInt(20_000);
-        boolean fails = random.nextInt(ill && (s.backend().hashCode() + s.id().hashCode()) % 4 == 0 ? 2 : 50) == 0;
+        int number = sends.merge(send.id(), 1, Integer::sum) - 1;
+        long tookUs = (send.backend().hashCode() % 3 == 0 ? 40_000 : 8_000) + random.nextInt(20_000);
+        boolean fails = random.nextInt(failurePeriod && (send.backend().hashCode() + send.id().hashCode()) % 4 == 0 ? 2 : 50) == 0;
         Outcome outcome = fails ? FAILURES[random.nextInt(FAILURES.length)] : Outcome.OK;
         if (outcome == Outcome.TIMEOUT) {
-            tookUs = s.timeoutUs();
+            tookUs = send.timeoutUs();
         }
-        int style = random.nextInt(12);
-        if (style == 0) {
-            later(500, new RequestSending(s.id(), number));
-            later(2_000, new RequestSent(s.id(), number, 400_000));
-        } else if (style == 1 && outcome == Outcome.OK) {
-            later(tookUs / 2, new StreamStarted(s.id(), number));
+        int bodyStyle = random.nextInt(12);
+        if (bodyStyle == 0) {
+            schedule(500, new RequestSending(send.id(), number));
+            schedule(2_000, new RequestSent(send.id(), number, 400_000));
+        } else if (bodyStyle == 1 && outcome == Outcome.OK) {
+            schedule(tookUs / 2, new StreamStarted(send.id(), number));
         }
-        later(tookUs, new AttemptEnded(s.id(), number, s.backend(), outcome, tookUs, outcome == Outcome.OK));
+        schedule(tookUs, new AttemptEnded(send.id(), number, send.backend(), outcome, tookUs, outcome == Outcome.OK));
     }
 }
--- a/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
+++ b/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
@@ -9,19 +9,19 @@
 class DiscoveryBackOffTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 500_000, 1_900_000, 10_000_000, 20_000_000, 60_000_000, 600_000_000, Long.MAX_VALUE / 100})
-    void growsUpToTheLongestAndIsNeverInStep(long askWithinUs) {
-        long before = 0;
+    void growsUpToTheLongestAndHasJitter(long askWithinUs) {
+        long previousMost = 0;
         for (int failed = 1; failed < 100; failed++) {
             long least = BackOff.us(askWithinUs, failed, 0);
             long most = BackOff.us(askWithinUs, failed, 1);
-            assertThat(most).isBetween(before, BackOff.LONGEST_US);
+            assertThat(most).isBetween(previousMost, BackOff.LONGEST_US);
             assertThat(least).isLessThanOrEqualTo(most / 2);
-            before = most;
+            previousMost = most;
         }
     }
 
     @Test
-    void followsTheSettingsWhereThereIsTime() {
+    void followsTheSettingsBelowTheLongest() {
         assertThat(BackOff.us(3_200_000, 1, 0)).isEqualTo(50_000);
         assertThat(BackOff.us(3_200_000, 1, 1)).isEqualTo(150_000);
         assertThat(BackOff.us(3_200_000, 4, 0.5)).isEqualTo(800_000);
--- a/proxy/src/test/java/walkpost/ExclusionTest.java
+++ b/proxy/src/test/java/walkpost/ExclusionTest.java
@@ -18,10 +18,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A backend that the operators take out and give back. */
+/** A backend that the operators exclude and include again. */
 class ExclusionTest {
-    /** A cold backend bears little: one that got its half of what these tests send would fall over. */
-    private final PolicyHarness proxy = new PolicyHarness(PolicyHarness.settings(PolicyHarness.LIMITS, new Balancer.Rules(0.1, 8 * S, 2, S, 10 * S, false)));
+    /** A cold backend bears little: half of the requests of these tests would overload it. */
+    private final PolicyHarness proxy =
+            new PolicyHarness(PolicyHarness.settings(PolicyHarness.LIMITS, new Balancer.Rules(0.1, 8 * S, 2, S, 10 * S, false)));
 
     private List<String> serve(int requests) {
         var backends = new ArrayList<String>();
@@ -32,22 +33,22 @@
     }
 
     @Test
-    void getsNothingWhateverTheListSays() {
-        proxy.list(backend("a"), backend("b"));
+    void excludedBackendGetsNoRequestsWhateverTheListSays() {
+        proxy.fullList(backend("a"), backend("b"));
         assertThat(serve(10)).contains("a");
         assertThat(proxy.feed(new Excluded("a"))).contains(new Release("a"));
         assertThat(serve(10)).containsOnly("b");
-        proxy.list(backend("a"), backend("b"));
+        proxy.fullList(backend("a"), backend("b"));
         assertThat(serve(10)).containsOnly("b");
-        proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.in(State.DRAINING, "a"))));
+        proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.inState(State.DRAINING, "a"))));
         proxy.feed(new Members(ListKind.DELTA, List.of(started("a", proxy.now))));
         assertThat(serve(10)).containsOnly("b");
     }
 
-    /** The list need not name it again for that, and it comes back cold: it gets some, and far from its half. */
+    /** The list need not name it again. It gets some requests, but far less than half. */
     @Test
-    void comesBackColdWithoutNewsOfTheList() {
-        proxy.list(backend("a"), backend("b"));
+    void includedBackendComesBackColdWithoutAListUpdate() {
+        proxy.fullList(backend("a"), backend("b"));
         serve(40);
         proxy.feed(new Excluded("a"));
         proxy.feed(new Excluded("a"));
@@ -61,29 +62,29 @@
         assertThat(serve(100).stream().filter("a"::equals).count()).isBetween(45L, 55L);
     }
 
-    /** What it did before it was restarted tells nothing, not even that it was ill. */
+    /** It was restarted meanwhile, so that earlier failures say nothing about it. */
     @Test
-    void isNotPutOffForWhatItDidBefore() {
-        proxy.list(backend("a"), backend("b"));
+    void includedBackendIsNotEjectedForEarlierFailures() {
+        proxy.fullList(backend("a"), backend("b"));
         String id = proxy.arrive(READ);
-        String ill = proxy.lastSend(id).backend();
-        proxy.end(id, Outcome.CONNECT_FAILED, 10 * MS);
-        proxy.end(id, Outcome.OK, 10 * MS);
-        assertThat(serve(5)).doesNotContain(ill);
-        proxy.feed(new Excluded(ill));
-        proxy.feed(new Included(ill));
-        assertThat(serve(60)).contains(ill);
+        String failed = proxy.lastSend(id).backend();
+        proxy.endAttempt(id, Outcome.CONNECT_FAILED, 10 * MS);
+        proxy.endAttempt(id, Outcome.OK, 10 * MS);
+        assertThat(serve(5)).doesNotContain(failed);
+        proxy.feed(new Excluded(failed));
+        proxy.feed(new Included(failed));
+        assertThat(serve(60)).contains(failed);
     }
 
     @Test
-    void oneThatTheListNamesOnlyLaterIsColdAllTheSame() {
-        proxy.list(backend("a"), backend("b"));
+    void includedBackendIsColdIfTheListNamesItOnlyLater() {
+        proxy.fullList(backend("a"), backend("b"));
         serve(40);
         proxy.feed(new Excluded("a"));
-        proxy.list(backend("b"));
+        proxy.fullList(backend("b"));
         proxy.feed(new Included("a"));
         assertThat(serve(5)).containsOnly("b");
-        proxy.list(backend("a"), backend("b"));
+        proxy.fullList(backend("a"), backend("b"));
         List<String> after = serve(100);
         assertThat(after).contains("a");
         assertThat(after.stream().filter("a"::equals).count()).isLessThan(40);
--- a/proxy/src/test/java/walkpost/OverloadTest.java
+++ b/proxy/src/test/java/walkpost/OverloadTest.java
@@ -17,13 +17,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What happens when more comes than the backends can do. */
+/** Overload: more requests arrive than the backends can serve. Tests the concurrency limit, the queue and the refusals. */
 class OverloadTest {
     private final PolicyHarness proxy = new PolicyHarness();
 
     @Test
-    void moreThanTheLimitIsHeldAndThenRefusedAtOnce() {
-        proxy.list(backend("a"), backend("b"));
+    void requestsOverTheLimitAreQueuedAndThenRefusedAtOnce() {
+        proxy.fullList(backend("a"), backend("b"));
         for (int i = 0; i < 100; i++) {
             proxy.arrive(READ);
         }
@@ -34,83 +34,83 @@
         assertThat(sent + refused).isLessThan(100);
     }
 
-    /** A class and tenant alone sees too little of a backend, where traffic is thin: others needn't find out again. */
+    /** With little traffic, one flow sees too few answers of a backend. The other flows do not have to find the failure again. */
     @Test
-    void aBackendThatLetsOneClassWaitForNothingIsPutOffForAll() {
-        proxy.list(backend("a"), backend("b"), backend("c"), backend("d"));
+    void backendSilentForOneClassIsEjectedForAll() {
+        proxy.fullList(backend("a"), backend("b"), backend("c"), backend("d"));
         String pay = proxy.arrive(PAY);
         String silent = proxy.lastSend(pay).backend();
-        proxy.run(800 * MS);
-        proxy.end(pay, Outcome.TIMEOUT, 800 * MS);
+        proxy.advance(800 * MS);
+        proxy.endAttempt(pay, Outcome.TIMEOUT, 800 * MS);
         for (int i = 0; i < 20; i++) {
             assertThat(proxy.serve(READ, 10 * MS)).isNotEqualTo(silent);
         }
     }
 
     @Test
-    void theDearestHeldRequestGoesFirst() {
-        proxy.list(backend("a"));
+    void queuedRequestOfHighestWorthIsSentFirst() {
+        proxy.fullList(backend("a"));
         var sent = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
             sent.add(proxy.arrive(READ));
         }
         String read = proxy.arrive(READ);
         String pay = proxy.arrive(PAY);
-        assertThat(proxy.sends(read) + proxy.sends(pay)).isZero();
-        proxy.end(sent.get(0), Outcome.OK, 30 * MS);
-        assertThat(proxy.sends(pay)).isEqualTo(1);
-        assertThat(proxy.sends(read)).isZero();
+        assertThat(proxy.sendCount(read) + proxy.sendCount(pay)).isZero();
+        proxy.endAttempt(sent.get(0), Outcome.OK, 30 * MS);
+        assertThat(proxy.sendCount(pay)).isEqualTo(1);
+        assertThat(proxy.sendCount(read)).isZero();
     }
 
     @Test
-    void theLeastWorthIsRefusedFirst() {
-        proxy.list(backend("a"));
+    void requestsOfLeastWorthAreRefusedFirst() {
+        proxy.fullList(backend("a"));
         for (int i = 0; i < 20; i++) {
             proxy.arrive(READ);
         }
         String pay = proxy.arrive(PAY);
-        assertThat(proxy.has(new Refuse(pay, 0))).isFalse();
-        assertThat(proxy.has(new Fail(pay))).isFalse();
+        assertThat(proxy.hasAction(new Refuse(pay, 0))).isFalse();
+        assertThat(proxy.hasAction(new Fail(pay))).isFalse();
     }
 
-    /** A client that is told when to come back doesn't come back into the crowd that it was turned away from. */
+    /** Without a retry-after, refused clients come back at once, into the same overload. */
     @Test
-    void aRefusalTellsWhenThereMayBeRoom() {
-        long most = 700 * MS;
-        var p = new PolicyHarness(PolicyHarness.settings(new Balancer.Limits(true, false, false, false, 4, most), RULES));
-        p.list(backend("a"));
+    void refusalHasARetryAfterWithJitter() {
+        long maxRetryAfterUs = 700 * MS;
+        var harness = new PolicyHarness(PolicyHarness.settings(new Balancer.Limits(true, false, false, false, 4, maxRetryAfterUs), RULES));
+        harness.fullList(backend("a"));
         for (int i = 0; i < 20; i++) {
-            p.arrive(READ);
+            harness.arrive(READ);
         }
-        var hints = p.actions.stream().filter(a -> a instanceof Refuse).map(a -> ((Refuse) a).retryAfterUs()).toList();
+        var hints = harness.actions.stream().filter(a -> a instanceof Refuse).map(a -> ((Refuse) a).retryAfterUs()).toList();
         assertThat(hints).hasSizeGreaterThan(5).doesNotHaveDuplicates()
-                .allSatisfy(hint -> assertThat(hint).isBetween(60 * MS, most));
+                .allSatisfy(hint -> assertThat(hint).isBetween(60 * MS, maxRetryAfterUs));
     }
 
     @Test
-    void aTenantPastItsShareGivesWay() {
-        var p = new PolicyHarness(PolicyHarness.settings(LIMITS, RULES, new Tenant("greedy", 1), new Tenant("modest", 1000)));
-        p.list(backend("a"));
-        p.now += 10_000 * MS;
-        var held = new ArrayList<String>();
+    void tenantOverItsShareYieldsToOthers() {
+        var harness = new PolicyHarness(PolicyHarness.settings(LIMITS, RULES, new Tenant("greedy", 1), new Tenant("modest", 1000)));
+        harness.fullList(backend("a"));
+        harness.now += 10_000 * MS;
+        var greedy = new ArrayList<String>();
         for (int i = 0; i < 60; i++) {
-            held.add(p.arrive(READ, "greedy"));
+            greedy.add(harness.arrive(READ, "greedy"));
         }
-        String modest = p.arrive(READ, "modest");
-        String first = held.stream().filter(id -> p.sends(id) == 1).findFirst().orElseThrow();
-        p.end(first, Outcome.OK, 30 * MS);
-        p.end(held.stream().filter(id -> p.sends(id) == 1).skip(1).findFirst().orElseThrow(), Outcome.OK, 30 * MS);
-        assertThat(p.sends(modest)).isEqualTo(1);
+        String modest = harness.arrive(READ, "modest");
+        String first = greedy.stream().filter(id -> harness.sendCount(id) == 1).findFirst().orElseThrow();
+        harness.endAttempt(first, Outcome.OK, 30 * MS);
+        harness.endAttempt(greedy.stream().filter(id -> harness.sendCount(id) == 1).skip(1).findFirst().orElseThrow(), Outcome.OK, 30 * MS);
+        assertThat(harness.sendCount(modest)).isEqualTo(1);
     }
 
     @Test
-    void theLimitFollowsTheRateOfAnswers() {
-        proxy.list(backend("a"), backend("b"));
+    void limitFollowsTheRateOfAnswers() {
+        proxy.fullList(backend("a"), backend("b"));
         for (int round = 0; round < 600; round++) {
             proxy.now += 5 * MS;
             for (String id : List.of(proxy.arrive(READ), proxy.arrive(READ))) {
-                if (proxy.sends(id) > 0) {
-                    proxy.end(id, Outcome.OK, MS);
+                if (proxy.sendCount(id) > 0) {
+                    proxy.endAttempt(id, Outcome.OK, MS);
                 }
             }
         }
@@ -124,32 +124,33 @@
     }
 
     @Test
-    void aLoneProxyKeepsItsBackendsBusyWhenUnqueuedWorkFillsTheLimit() {
-        // One of three, the others gone. An answer takes 200 ms without a queue, more than a fifth of the shortest aim.
-        var p = new PolicyHarness(new Balancer.Settings(3, 0, "a", MS, List.of(READ, PolicyHarness.PAY), List.of(), 1, false, LIMITS, RULES, 1));
-        p.list(backend("a"), backend("b"), backend("c"));
-        var out = new java.util.ArrayDeque<String>();
+    void limitDoesNotKeepBackendsIdleIfResponsesTakeLongerThanTheTarget() {
+        // One of three proxies, the other two gone. An answer takes 200 ms without a queue, more than a fifth of the shortest aim.
+        var harness = new PolicyHarness(new Balancer.Settings(3, 0, "a", MS, List.of(READ, PolicyHarness.PAY), List.of(), 1, false,
+                LIMITS, RULES, 1));
+        harness.fullList(backend("a"), backend("b"), backend("c"));
+        var inFlight = new java.util.ArrayDeque<String>();
         int seen = 0;
         int inLastSecond = 0;
         for (int step = 0; step < 3000; step++) {
-            p.now += 20 * MS;
-            p.arrive(READ);
-            for (; seen < p.actions.size(); seen++) {
-                if (p.actions.get(seen) instanceof Send s) {
-                    out.add(s.id() + " " + p.now);
+            harness.now += 20 * MS;
+            harness.arrive(READ);
+            for (; seen < harness.actions.size(); seen++) {
+                if (harness.actions.get(seen) instanceof Send s) {
+                    inFlight.add(s.id() + " " + harness.now);
                     inLastSecond += step >= 2950 ? 1 : 0;
                 }
             }
-            while (!out.isEmpty() && Long.parseLong(out.peek().split(" ")[1]) + 200 * MS <= p.now) {
-                p.end(out.remove().split(" ")[0], Outcome.OK, 200 * MS);
+            while (!inFlight.isEmpty() && Long.parseLong(inFlight.peek().split(" ")[1]) + 200 * MS <= harness.now) {
+                harness.endAttempt(inFlight.remove().split(" ")[0], Outcome.OK, 200 * MS);
             }
         }
-        // Fifty came in; three at a time would be fifteen.
+        // Fifty requests arrived. With three at a time in flight, only fifteen would have been sent.
         assertThat(inLastSecond).isGreaterThan(45);
     }
 
     @Test
-    void twelveProxiesTogetherHoldNoMoreThanOne() {
+    void twelveProxiesTogetherSendNoMoreThanOne() {
         var alone = new PolicyHarness();
         var oneOfTwelve = oneOf(12);
         var backends = new Balancer.Backend[24];
@@ -159,7 +160,7 @@
         assertThat(burst(oneOfTwelve, backends)).isBetween(1L, burst(alone, backends) / 6);
     }
 
-    /** A cold backend takes little of a crowd: its part is not to be put on top of that of the warm ones. */
+    /** A cold backend takes few requests at once. Its part of the concurrency must not be added to that of the warm backends. */
     @Test
     void warmBackendsAreNotSentThePartOfColdOnes() {
         var some = new Balancer.Backend[24];
@@ -177,280 +178,282 @@
     }
 
     @Test
-    void aBackendThatIsStuckGathersAttemptsOfAFewProxiesOnly() {
+    void stuckBackendGetsAttemptsOfAFewProxiesOnly() {
         var backends = new Balancer.Backend[24];
         var gathered = new java.util.HashMap<String, Integer>();
         for (int i = 0; i < backends.length; i++) {
             backends[i] = backend("s" + i, "std", i % 2 == 0 ? "a" : "b", 1);
         }
         for (int rank = 0; rank < 12; rank++) {
-            var p = new PolicyHarness(new Balancer.Settings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
-            p.list(backends);
+            var harness = new PolicyHarness(new Balancer.Settings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES,
+                    rank));
+            harness.fullList(backends);
             for (int i = 0; i < 6; i++) {
-                gathered.merge(p.lastSend(p.arrive(READ)).backend(), 1, Integer::sum);
+                gathered.merge(harness.lastSend(harness.arrive(READ)).backend(), 1, Integer::sum);
             }
         }
         assertThat(gathered).hasSize(24).allSatisfy((id, proxies) -> assertThat(proxies).isEqualTo(3));
     }
 
     @Test
-    void aHeldRequestIsGivenUpWhileItCouldStillBeAnsweredInTime() {
-        proxy.list(backend("a"));
+    void queuedRequestIsRefusedOnceTooLittleTimeIsLeftToAnswerIt() {
+        proxy.fullList(backend("a"));
         for (int i = 0; i < 3; i++) {
             proxy.arrive(READ);
         }
-        String held = proxy.arrive(READ);
-        // Its aim is 600 ms away; an attempt may take 0.4 of the shortest aim, 400 ms.
-        proxy.run(439 * MS);
-        assertThat(proxy.has(new Balancer.Refuse(held, 0))).isFalse();
-        proxy.run(1 * MS);
-        assertThat(proxy.has(new Balancer.Refuse(held, 0))).isTrue();
+        String queued = proxy.arrive(READ);
+        // The aim is 600 ms away, and an attempt may take 0.4 of the shortest aim of 400 ms.
+        proxy.advance(439 * MS);
+        assertThat(proxy.hasAction(new Balancer.Refuse(queued, 0))).isFalse();
+        proxy.advance(1 * MS);
+        assertThat(proxy.hasAction(new Balancer.Refuse(queued, 0))).isTrue();
     }
 
     @Test
-    void roomIsNotGivenToARepeatThatIsLateAlready() {
-        proxy.list(backend("a"));
-        var out = new ArrayList<String>();
+    void repeatThatIsAlreadyLateIsNotSentUnderOverload() {
+        proxy.fullList(backend("a"));
+        var inFlight = new ArrayList<String>();
         for (int i = 0; i < 4; i++) {
             String id = "first" + i;
             proxy.feed(new Balancer.Arrival(id, "read", null, null, 1800 * MS, false, 0));
-            out.add(id);
+            inFlight.add(id);
         }
-        assertThat(proxy.sends("first2")).isEqualTo(1);
-        assertThat(proxy.sends("first3")).isZero();
-        // 1.2 s of 2 s are left, so the client began 0.8 s ago; its aim was 0.6 s.
+        assertThat(proxy.sendCount("first2")).isEqualTo(1);
+        assertThat(proxy.sendCount("first3")).isZero();
+        // 1.2 s of 2 s are left, so that the client began 0.8 s ago; the aim is 0.6 s.
         proxy.feed(new Balancer.Arrival("late", "read", null, null, 1200 * MS, true, 0));
-        // As much patience as first tries have: nothing is known of when it began.
+        // As much time is left as for first tries, so that nothing is known of when the client began.
         proxy.feed(new Balancer.Arrival("again", "read", null, null, 1800 * MS, true, 0));
-        assertThat(proxy.has(new Balancer.Refuse("late", 0))).isTrue();
-        proxy.end("first0", Outcome.OK, MS);
-        proxy.end("first1", Outcome.OK, MS);
-        assertThat(proxy.sends("again")).isEqualTo(1);
-        // With room to spare it is still served.
+        assertThat(proxy.hasAction(new Balancer.Refuse("late", 0))).isTrue();
+        proxy.endAttempt("first0", Outcome.OK, MS);
+        proxy.endAttempt("first1", Outcome.OK, MS);
+        assertThat(proxy.sendCount("again")).isEqualTo(1);
+        // Without overload, a late repeat is still served.
         proxy.now += 100 * MS;
-        proxy.end("first2", Outcome.OK, MS);
-        proxy.end("first3", Outcome.OK, MS);
-        proxy.end("again", Outcome.OK, MS);
+        proxy.endAttempt("first2", Outcome.OK, MS);
+        proxy.endAttempt("first3", Outcome.OK, MS);
+        proxy.endAttempt("again", Outcome.OK, MS);
         proxy.feed(new Balancer.Arrival("idle", "read", null, null, 1200 * MS, true, 0));
-        assertThat(proxy.sends("idle")).isEqualTo(1);
+        assertThat(proxy.sendCount("idle")).isEqualTo(1);
     }
 
     @Test
-    void roomGoesToARequestWhoseKeyIsAtHomeThere() {
-        var p = new PolicyHarness(new Balancer.Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
-        p.list(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
-        String[] key = new String[60];
-        var home = new java.util.HashMap<String, String>();
-        for (int i = 0; i < key.length; i++) {
-            key[i] = "key" + i;
-            p.feed(new Balancer.Arrival("probe" + i, "read", null, key[i], 2 * PolicyHarness.S, false, 0));
-            home.put(key[i], p.lastSend("probe" + i).backend());
-            p.end("probe" + i, Outcome.OK, MS);
+    void freeBackendServesTheQueuedRequestWhoseKeyItHasInItsCache() {
+        var harness = new PolicyHarness(new Balancer.Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
+        harness.fullList(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
+        String[] keys = new String[60];
+        var serverByKey = new java.util.HashMap<String, String>();
+        for (int i = 0; i < keys.length; i++) {
+            keys[i] = "key" + i;
+            harness.feed(new Balancer.Arrival("probe" + i, "read", null, keys[i], 2 * PolicyHarness.S, false, 0));
+            serverByKey.put(keys[i], harness.lastSend("probe" + i).backend());
+            harness.endAttempt("probe" + i, Outcome.OK, MS);
         }
-        p.now += 20 * PolicyHarness.S;
-        var out = new ArrayList<String>();
+        harness.now += 20 * PolicyHarness.S;
+        var inFlight = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
-            out.add(p.arrive(READ));
+            inFlight.add(harness.arrive(READ));
         }
-        String freed = p.lastSend(out.get(0)).backend();
-        String other = java.util.Arrays.stream(key).filter(k -> !home.get(k).equals(freed)).findFirst().orElseThrow();
-        String fits = java.util.Arrays.stream(key).filter(k -> home.get(k).equals(freed)).findFirst().orElseThrow();
-        p.feed(new Balancer.Arrival("other", "read", null, other, 2 * PolicyHarness.S, false, 0));
-        p.now += MS;
-        p.feed(new Balancer.Arrival("fits", "read", null, fits, 2 * PolicyHarness.S, false, 0));
-        assertThat(p.sends("other") + p.sends("fits")).isZero();
-        p.end(out.get(0), Outcome.OK, MS);
-        assertThat(p.sends("fits")).isEqualTo(1);
-        assertThat(p.sends("other")).isZero();
+        String freed = harness.lastSend(inFlight.get(0)).backend();
+        String other = java.util.Arrays.stream(keys).filter(key -> !serverByKey.get(key).equals(freed)).findFirst().orElseThrow();
+        String fits = java.util.Arrays.stream(keys).filter(key -> serverByKey.get(key).equals(freed)).findFirst().orElseThrow();
+        harness.feed(new Balancer.Arrival("other", "read", null, other, 2 * PolicyHarness.S, false, 0));
+        harness.now += MS;
+        harness.feed(new Balancer.Arrival("fits", "read", null, fits, 2 * PolicyHarness.S, false, 0));
+        assertThat(harness.sendCount("other") + harness.sendCount("fits")).isZero();
+        harness.endAttempt(inFlight.get(0), Outcome.OK, MS);
+        assertThat(harness.sendCount("fits")).isEqualTo(1);
+        assertThat(harness.sendCount("other")).isZero();
     }
 
-    /** One of 400 proxies at 60 backends: its part of what all may have out is 3 x 60 / 400, under half an attempt. */
+    /** Returns one of 400 proxies at 60 backends: its part of the concurrency is 3 x 60 / 400, less than half an attempt. */
     private static PolicyHarness oneOfHundreds(int rank, Balancer.RequestClass... classes) {
         var all = classes.length == 0 ? List.of(READ) : List.of(classes);
-        var p = new PolicyHarness(new Balancer.Settings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
-        p.list(java.util.stream.IntStream.range(0, 60).mapToObj(i -> backend("s" + i)).toArray(Balancer.Backend[]::new));
-        p.run(5 * PolicyHarness.S);
-        return p;
+        var harness = new PolicyHarness(new Balancer.Settings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
+        harness.fullList(java.util.stream.IntStream.range(0, 60).mapToObj(i -> backend("s" + i)).toArray(Balancer.Backend[]::new));
+        harness.advance(5 * PolicyHarness.S);
+        return harness;
     }
 
     @Test
-    void oneOfHundredsOfProxiesSendsBesideASlowAttempt() {
-        var p = oneOfHundreds(0);
-        p.serve(READ, 20 * MS);
-        p.arrive(READ);
-        p.run(300 * MS);
-        assertThat(p.sends(p.arrive(READ))).isEqualTo(1);
+    void oneOfHundredsOfProxiesIsNotBlockedByASlowAttempt() {
+        var harness = oneOfHundreds(0);
+        harness.serve(READ, 20 * MS);
+        harness.arrive(READ);
+        harness.advance(300 * MS);
+        assertThat(harness.sendCount(harness.arrive(READ))).isEqualTo(1);
     }
 
     @Test
-    void oneOfHundredsOfProxiesKeepsToItsLimitInTheMeanAndGoesOnInTime() {
-        var p = oneOfHundreds(0);
+    void oneOfHundredsOfProxiesKeepsToItsLimitAsAMeanOverTime() {
+        var harness = oneOfHundreds(0);
         var sentAt = new java.util.HashMap<String, Long>();
         var ended = new java.util.HashSet<String>();
         for (int step = 0; step < 500; step++) {
             if (step % 5 == 0) {
-                p.arrive(READ);
+                harness.arrive(READ);
             }
-            p.run(50 * MS);
-            p.actions.stream().filter(a -> a instanceof Send).forEach(a -> sentAt.putIfAbsent(((Send) a).id(), p.now));
+            harness.advance(50 * MS);
+            harness.actions.stream().filter(a -> a instanceof Send).forEach(a -> sentAt.putIfAbsent(((Send) a).id(), harness.now));
             for (String id : List.copyOf(sentAt.keySet())) {
-                if (p.now - sentAt.get(id) >= 250 * MS && ended.add(id)) {
-                    p.end(id, Outcome.OK, 250 * MS);
+                if (harness.now - sentAt.get(id) >= 250 * MS && ended.add(id)) {
+                    harness.endAttempt(id, Outcome.OK, 250 * MS);
                 }
             }
         }
-        // In the mean of 25 s 2 to 4 x 60 / 400 may be out, and what a refresh of 1.2 s has saved up.
+        // As a mean over 25 s, 2 to 4 x 60 / 400 attempts may be in flight, and what was saved up in a refresh period of 1.2 s.
         assertThat(sentAt.size()).isBetween(25 * 3 / 10 * 4, 27 * 6 / 10 * 4);
     }
 
     @Test
-    void oneOfHundredsThatRefusesMuchKeepsLessOut() {
-        var calm = oneOfHundreds(0);
-        var crowded = oneOfHundreds(0);
+    void oneOfHundredsThatRefusesMuchSendsLess() {
+        var unloaded = oneOfHundreds(0);
+        var overloaded = oneOfHundreds(0);
         for (int i = 0; i < 100; i++) {
-            crowded.arrive(READ);
+            overloaded.arrive(READ);
         }
-        assertThat(sentIn(crowded)).isLessThan(sentIn(calm));
+        assertThat(countSends(overloaded)).isLessThan(countSends(unloaded));
     }
 
-    /** Sends in ten seconds with a request every 400 ms that takes all of them. */
-    private static long sentIn(PolicyHarness p) {
-        p.run(10 * PolicyHarness.S);
-        long before = p.actions.stream().filter(a -> a instanceof Send).count();
+    /** Returns the number of sends in ten seconds, with a request every 400 ms that takes 400 ms. */
+    private static long countSends(PolicyHarness harness) {
+        harness.advance(10 * PolicyHarness.S);
+        long before = harness.actions.stream().filter(a -> a instanceof Send).count();
         for (int i = 0; i < 25; i++) {
-            String id = p.arrive(READ);
-            p.run(400 * MS);
-            if (p.sends(id) > 0) {
-                p.end(id, Outcome.ERROR, 400 * MS);
+            String id = harness.arrive(READ);
+            harness.advance(400 * MS);
+            if (harness.sendCount(id) > 0) {
+                harness.endAttempt(id, Outcome.ERROR, 400 * MS);
             }
         }
-        return p.actions.stream().filter(a -> a instanceof Send).count() - before;
+        return harness.actions.stream().filter(a -> a instanceof Send).count() - before;
     }
 
     @Test
-    void aColdBackendGetsItsPartOfEveryProxyAndNotTooMuch() {
+    void hundredsOfProxiesTogetherSendAColdBackendItsPart() {
         int got = 0;
         for (int rank = 0; rank < 400; rank++) {
-            var p = oneOfHundreds(rank);
+            var harness = oneOfHundreds(rank);
             for (int i = 0; i < 50; i++) {
-                p.serve(READ, 30 * MS);
-                p.run(170 * MS);
+                harness.serve(READ, 30 * MS);
+                harness.advance(170 * MS);
             }
-            long from = p.now;
-            p.feed(new Balancer.Members(Balancer.ListKind.DELTA, List.of(PolicyHarness.started("new", from))));
+            long from = harness.now;
+            harness.feed(new Balancer.Members(Balancer.ListKind.DELTA, List.of(PolicyHarness.started("new", from))));
             for (int i = 0; i < 25; i++) {
-                got += p.serve(READ, 30 * MS).equals("new") ? 1 : 0;
-                p.run(170 * MS);
+                got += harness.serve(READ, 30 * MS).equals("new") ? 1 : 0;
+                harness.advance(170 * MS);
             }
         }
-        // All serve 33 a second at each of 60 backends. In 5 s a new one starts at 40% of that and may get up to 4 times as much.
+        // All proxies together send each of 60 backends 33 requests a second. In its first 5 s a new one bears 40% of that, and may get
+        // up to 4 times as much.
         assertThat(got).isBetween(5 * 33 * 4 / 10 / 2, 5 * 33 * 4 / 10 * 3);
     }
 
     @Test
-    void oneOfHundredsOverdrawsForTheDearest() {
-        var cheap = oneOfHundreds(0, READ, PAY);
-        var dear = oneOfHundreds(0, READ, PAY);
-        for (var p : List.of(cheap, dear)) {
-            String slow = p.arrive(READ);
-            p.run(2 * PolicyHarness.S);
-            p.end(slow, Outcome.TIMEOUT, 2 * PolicyHarness.S);
+    void oneOfHundredsOverdrawsItsLimitForTheHighestWorth() {
+        var lowWorth = oneOfHundreds(0, READ, PAY);
+        var highWorth = oneOfHundreds(0, READ, PAY);
+        for (var harness : List.of(lowWorth, highWorth)) {
+            String slow = harness.arrive(READ);
+            harness.advance(2 * PolicyHarness.S);
+            harness.endAttempt(slow, Outcome.TIMEOUT, 2 * PolicyHarness.S);
         }
-        assertThat(cheap.sends(cheap.arrive(READ))).isZero();
-        assertThat(dear.sends(dear.arrive(PAY))).isEqualTo(1);
+        assertThat(lowWorth.sendCount(lowWorth.arrive(READ))).isZero();
+        assertThat(highWorth.sendCount(highWorth.arrive(PAY))).isEqualTo(1);
     }
 
     @Test
-    void hundredsOfProxiesStandEvenlyAndFallBackToDifferentBackends() {
+    void hundredsOfProxiesAreSpreadEvenlyAndFallBackToDifferentBackends() {
         var first = new java.util.HashMap<String, Integer>();
         var second = new java.util.HashMap<String, java.util.Set<String>>();
         for (int rank = 0; rank < 400; rank++) {
-            var p = oneOfHundreds(rank);
-            p.serve(READ, 20 * MS);
-            String stuckAt = p.lastSend(p.arrive(READ)).backend();
+            var harness = oneOfHundreds(rank);
+            harness.serve(READ, 20 * MS);
+            String stuckAt = harness.lastSend(harness.arrive(READ)).backend();
             first.merge(stuckAt, 1, Integer::sum);
-            p.run(300 * MS);
-            second.computeIfAbsent(stuckAt, id -> new java.util.HashSet<>()).add(p.lastSend(p.arrive(READ)).backend());
+            harness.advance(300 * MS);
+            second.computeIfAbsent(stuckAt, id -> new java.util.HashSet<>()).add(harness.lastSend(harness.arrive(READ)).backend());
         }
         assertThat(first).hasSize(60).allSatisfy((id, proxies) -> assertThat(proxies).isBetween(4, 9));
         assertThat(second).allSatisfy((id, next) -> assertThat(next).doesNotContain(id).hasSizeGreaterThan(3));
     }
 
     @Test
-    void oneOfHundredsWaitsForABackendThatIsMerelyBusy() {
-        var p = oneOfHundreds(0);
-        String home = p.serve(READ, 20 * MS);
-        String busy = p.arrive(READ);
-        p.now += MS;
-        String next = p.arrive(READ);
-        assertThat(p.sends(next)).isZero();
-        p.end(busy, Outcome.OK, MS);
-        assertThat(p.lastSend(next).backend()).isEqualTo(home);
+    void oneOfHundredsWaitsForABusyBackend() {
+        var harness = oneOfHundreds(0);
+        String preferred = harness.serve(READ, 20 * MS);
+        String busy = harness.arrive(READ);
+        harness.now += MS;
+        String next = harness.arrive(READ);
+        assertThat(harness.sendCount(next)).isZero();
+        harness.endAttempt(busy, Outcome.OK, MS);
+        assertThat(harness.lastSend(next).backend()).isEqualTo(preferred);
     }
 
     @Test
-    void oneOfHundredsHoldsNoMoreThanItCanSoonSend() {
-        var p = oneOfHundreds(0);
-        p.arrive(READ);
-        String held = p.arrive(READ);
-        String tooMany = p.arrive(READ);
-        assertThat(p.has(new Balancer.Refuse(tooMany, 0))).isTrue();
-        assertThat(p.has(new Balancer.Refuse(held, 0))).isFalse();
+    void oneOfHundredsQueuesNoMoreThanItCanSoonSend() {
+        var harness = oneOfHundreds(0);
+        harness.arrive(READ);
+        String queued = harness.arrive(READ);
+        String tooMany = harness.arrive(READ);
+        assertThat(harness.hasAction(new Balancer.Refuse(tooMany, 0))).isTrue();
+        assertThat(harness.hasAction(new Balancer.Refuse(queued, 0))).isFalse();
     }
 
     @Test
-    void oneOfHundredsTurnsToTheNextBackendInTimeForItsAim() {
-        var p = oneOfHundreds(0);
+    void oneOfHundredsTurnsToTheNextBackendInTimeForTheAim() {
+        var harness = oneOfHundreds(0);
         for (int i = 0; i < 20; i++) {
-            p.serve(READ, 200 * MS);
-            p.run(PolicyHarness.S);
+            harness.serve(READ, 200 * MS);
+            harness.advance(PolicyHarness.S);
         }
-        String busy = p.arrive(READ);
-        p.now += MS;
-        String next = p.arrive(READ);
-        // Its aim is 600 ms: 0.4 of that is 240.
-        p.run(230 * MS);
-        assertThat(p.sends(next)).isZero();
-        p.run(50 * MS);
-        assertThat(p.lastSend(next).backend()).isNotEqualTo(p.lastSend(busy).backend());
+        String busy = harness.arrive(READ);
+        harness.now += MS;
+        String next = harness.arrive(READ);
+        // The aim is 600 ms: 0.4 of that is 240 ms.
+        harness.advance(230 * MS);
+        assertThat(harness.sendCount(next)).isZero();
+        harness.advance(50 * MS);
+        assertThat(harness.lastSend(next).backend()).isNotEqualTo(harness.lastSend(busy).backend());
     }
 
     @Test
-    void aBackendFoundSlowIsLeftForAWhile() {
-        var p = oneOfHundreds(0);
+    void slowBackendIsAvoidedForAWhile() {
+        var harness = oneOfHundreds(0);
         for (int i = 0; i < 300; i++) {
-            p.serve(READ, 20 * MS);
-            p.run(100 * MS);
+            harness.serve(READ, 20 * MS);
+            harness.advance(100 * MS);
         }
-        String slow = p.serve(READ, 20 * MS);
+        String slow = harness.serve(READ, 20 * MS);
         for (int i = 0; i < 40; i++) {
-            String id = p.arrive(READ);
-            long latency = p.lastSend(id).backend().equals(slow) ? 400 * MS : 20 * MS;
-            p.now += latency;
-            p.end(id, Outcome.OK, latency);
-            p.run(200 * MS);
+            String id = harness.arrive(READ);
+            long latency = harness.lastSend(id).backend().equals(slow) ? 400 * MS : 20 * MS;
+            harness.now += latency;
+            harness.endAttempt(id, Outcome.OK, latency);
+            harness.advance(200 * MS);
         }
-        assertThat(p.serve(READ, 20 * MS)).isNotEqualTo(slow);
+        assertThat(harness.serve(READ, 20 * MS)).isNotEqualTo(slow);
         for (int i = 0; i < 30; i++) {
-            p.serve(READ, 20 * MS);
-            p.run(2 * PolicyHarness.S);
+            harness.serve(READ, 20 * MS);
+            harness.advance(2 * PolicyHarness.S);
         }
-        assertThat(p.serve(READ, 20 * MS)).as("its own answers are forgotten in time").isEqualTo(slow);
+        assertThat(harness.serve(READ, 20 * MS)).as("its earlier answers are forgotten in time").isEqualTo(slow);
     }
 
-    private static long burst(PolicyHarness p, Balancer.Backend... backends) {
-        p.list(backends);
+    private static long burst(PolicyHarness harness, Balancer.Backend... backends) {
+        harness.fullList(backends);
         for (int i = 0; i < 100; i++) {
-            p.arrive(READ);
+            harness.arrive(READ);
         }
-        return p.actions.stream().filter(a -> a instanceof Send).count();
+        return harness.actions.stream().filter(a -> a instanceof Send).count();
     }
 
     @Test
-    void anAttemptIsCutOffSoonAfterItsAimWhereALateAnswerIsWorthNothing() {
-        var p = oneOfHundreds(0);
-        String id = p.arrive(READ);
-        assertThat(p.lastSend(id).timeoutUs()).isBetween(READ.aimUs(), READ.deadlineUs() * 2 / 3);
+    void attemptTimesOutSoonAfterItsAimIfALateAnswerIsWorthNothing() {
+        var harness = oneOfHundreds(0);
+        String id = harness.arrive(READ);
+        assertThat(harness.lastSend(id).timeoutUs()).isBetween(READ.aimUs(), READ.deadlineUs() * 2 / 3);
     }
 
     @Test
@@ -459,21 +462,21 @@
         assertThat(backendsUsed(4)).isBetween(3L, 8L);
     }
 
-    /** Backends that got something from a proxy that keeps so many requests of 100 ms out, once it has settled. */
+    /** Returns how many backends a proxy uses that has {@code together} requests of 100 ms in flight, after its first 150 rounds. */
     private static long backendsUsed(int together) {
-        var p = oneOfHundreds(0);
+        var harness = oneOfHundreds(0);
         int before = 0;
         for (int i = 0; i < 200; i++) {
-            before = i == 150 ? p.actions.size() : before;
-            var out = new ArrayList<String>();
-            for (int n = 0; n < together; n++) {
-                out.add(p.arrive(READ));
+            before = i == 150 ? harness.actions.size() : before;
+            var inFlight = new ArrayList<String>();
+            for (int started = 0; started < together; started++) {
+                inFlight.add(harness.arrive(READ));
             }
-            p.run(100 * MS);
-            out.stream().filter(id -> p.sends(id) > 0).forEach(id -> p.end(id, Outcome.OK, 100 * MS));
-            p.run(together == 1 ? 200 * MS : 0);
+            harness.advance(100 * MS);
+            inFlight.stream().filter(id -> harness.sendCount(id) > 0).forEach(id -> harness.endAttempt(id, Outcome.OK, 100 * MS));
+            harness.advance(together == 1 ? 200 * MS : 0);
         }
-        return p.actions.subList(before, p.actions.size()).stream().filter(a -> a instanceof Send)
+        return harness.actions.subList(before, harness.actions.size()).stream().filter(a -> a instanceof Send)
                 .map(a -> ((Send) a).backend()).distinct().count();
     }
 }
--- a/proxy/src/test/java/walkpost/PolicyHarness.java
+++ b/proxy/src/test/java/walkpost/PolicyHarness.java
@@ -26,8 +26,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A proxy for tests: it feeds one module by hand and keeps what the module asked for. */
+/**
+ * Drives one {@link Policy} in place of a proxy: passes it events at times that the test sets, and keeps its actions. All times are in
+ * microseconds.
+ */
 final class PolicyHarness {
+    /** Microseconds in a millisecond, and in a second. */
     static final long MS = 1_000;
     static final long S = 1_000_000;
 
@@ -42,7 +46,7 @@
     static final RequestClass VOTE =
             new RequestClass("vote", 600 * MS, 2 * S, 3, 0, Effect.UNSAFE, Scope.ALL, 0);
 
-    /** No hints when to come back: a refusal then equals any other. */
+    /** The longest retry-after is 0, so that all refusals of a request are equal. */
     static final Limits LIMITS = new Limits(true, false, false, false, 4, 0);
     static final Rules RULES = new Rules(0.4, 8 * S, 4, S, 10 * S, false);
 
@@ -78,11 +82,11 @@
         return new Backend(id, State.READY, "std", "a", 1, at, 1);
     }
 
-    static Backend in(State state, String id) {
+    static Backend inState(State state, String id) {
         return new Backend(id, state, "std", "a", 1, 0, 1);
     }
 
-    /** Feeds an event and returns what the module asked for because of it. */
+    /** Passes an event to the module and returns the actions that result. */
     List<Action> feed(Event event) {
         int before = actions.size();
         policy.handle(now, event, action -> {
@@ -94,11 +98,11 @@
         return List.copyOf(actions.subList(before, actions.size()));
     }
 
-    void list(Backend... backends) {
+    void fullList(Backend... backends) {
         feed(new Members(ListKind.FULL, List.of(backends)));
     }
 
-    /** A request arrives; returns its id. */
+    /** Lets a request arrive and returns its id. */
     String arrive(RequestClass type) {
         return arrive(type, null);
     }
@@ -113,19 +117,19 @@
         return id;
     }
 
-    /** The latest attempt of a request ends. */
-    List<Action> end(String id, Outcome outcome, long latencyUs) {
+    /** Ends the latest attempt of a request, and the request too if the outcome is {@code OK}. */
+    List<Action> endAttempt(String id, Outcome outcome, long latencyUs) {
         Send send = lastSend(id);
         return feed(new AttemptEnded(id, attempts.get(id) - 1, send.backend(), outcome, latencyUs,
                 outcome == Outcome.OK));
     }
 
-    List<Action> timer(String token) {
+    List<Action> fireTimer(String token) {
         return feed(new TimerFired(token));
     }
 
-    /** Time passes: the timers asked for so far, and those asked for meanwhile, fire when they are due. */
-    void run(long forUs) {
+    /** Advances the time, and fires each timer that falls due meanwhile, in order, at its time. */
+    void advance(long forUs) {
         long until = now + forUs;
         while (true) {
             var due = actions.stream().filter(a -> a instanceof SetTimer t && t.atUs() <= until && !fired.contains(t))
@@ -136,7 +140,7 @@
             }
             fired.add(due.get());
             now = Math.max(now, due.get().atUs());
-            timer(due.get().token());
+            fireTimer(due.get().token());
         }
     }
 
@@ -150,19 +154,19 @@
         return last;
     }
 
-    int sends(String id) {
+    int sendCount(String id) {
         return attempts.getOrDefault(id, 0);
     }
 
-    /** A request arrives and is answered after a while; returns the backend that it went to. */
+    /** Lets a request arrive and answers it after {@code latencyUs}; returns the backend that it was sent to. */
     String serve(RequestClass type, long latencyUs) {
         String id = arrive(type);
         now += latencyUs;
-        end(id, Outcome.OK, latencyUs);
+        endAttempt(id, Outcome.OK, latencyUs);
         return lastSend(id).backend();
     }
 
-    boolean has(Action action) {
+    boolean hasAction(Action action) {
         return actions.contains(action);
     }
 }
--- a/proxy/src/test/java/walkpost/PolicyScalingTest.java
+++ b/proxy/src/test/java/walkpost/PolicyScalingTest.java
@@ -18,9 +18,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How the module's state and work grow with servers and tenants: counted, as no clock tells a slope from a busy machine. */
+/**
+ * Guards against memory and work of the module that grow faster than servers and tenants do. Counts objects, look-ups and allocated bytes,
+ * because timings on a busy machine say nothing about growth.
+ */
 class PolicyScalingTest {
-    private static final long PAUSE = 1_000;
+    private static final long BASE_EJECTION_US = 1_000;
 
     private static Settings settings(int tenants) {
         var shares = new ArrayList<Tenant>();
@@ -36,12 +39,12 @@
         for (int i = 0; i < servers; i++) {
             list[i] = PolicyHarness.backend("s" + i);
         }
-        proxy.list(list);
+        proxy.fullList(list);
         return proxy;
     }
 
-    /** Each tenant and class once, a moment after the other. */
-    private static void once(PolicyHarness proxy, int tenants, Outcome outcome) {
+    /** Sends one request of each tenant, 1 ms apart, all with the same outcome. */
+    private static void requestOfEachTenant(PolicyHarness proxy, int tenants, Outcome outcome) {
         for (int i = 0; i < tenants; i++) {
             String id = proxy.arrive(PolicyHarness.VOTE, "t" + i);
             proxy.now += PolicyHarness.MS;
@@ -53,121 +56,121 @@
 
     @ParameterizedTest
     @ValueSource(ints = {10, 40, 160, 640})
-    void flowsThatAreAtRestAreNotKept(int tenants) {
+    void idleFlowsWithoutFailuresAreNotStored(int tenants) {
         PolicyHarness proxy = proxy(40, tenants);
-        once(proxy, tenants, Outcome.OK);
+        requestOfEachTenant(proxy, tenants, Outcome.OK);
         assertThat(proxy.policy.trackedFlows()).isZero();
         for (int i = 0; i < 10; i++) {
             proxy.arrive(PolicyHarness.READ, "t" + i);
         }
-        assertThat(proxy.policy.trackedFlows()).as("with so many requests out").isEqualTo(10);
+        assertThat(proxy.policy.trackedFlows()).as("with ten requests in flight").isEqualTo(10);
     }
 
     @Test
-    void flowsThatFailedAreKeptOnceEach() {
+    void eachFlowThatFailedAtAServerIsStoredOnce() {
         PolicyHarness proxy = proxy(40, 100);
-        once(proxy, 100, Outcome.ERROR);
+        requestOfEachTenant(proxy, 100, Outcome.ERROR);
         assertThat(proxy.policy.trackedFlows()).isPositive().isLessThanOrEqualTo(100);
-        once(proxy, 100, Outcome.ERROR);
+        requestOfEachTenant(proxy, 100, Outcome.ERROR);
         assertThat(proxy.policy.trackedFlows()).isLessThanOrEqualTo(200);
     }
 
     @Test
-    void theOldestFailuresAreForgivenWhereTooManyAreKept() {
+    void oldestFailuresAreClearedIfTooManyFlowsAreStored() {
         var ejectedFlows = new EjectedFlows(4);
         var servers = List.of(new FlowOutlierDetectors(ejectedFlows), new FlowOutlierDetectors(ejectedFlows));
         for (int i = 0; i < 10; i++) {
-            servers.get(i % 2).recordResult("f" + i, false, i, PAUSE);
+            servers.get(i % 2).recordResult("f" + i, false, i, BASE_EJECTION_US);
             assertThat(ejectedFlows.size()).isLessThanOrEqualTo(4);
         }
         assertThat(servers.get(0).size() + servers.get(1).size()).isEqualTo(4);
         for (int i = 0; i < 10; i++) {
-            assertThat(servers.get(i % 2).isEligible("f" + i, 10, PAUSE)).as("flow %d", i).isEqualTo(i < 6);
+            assertThat(servers.get(i % 2).isEligible("f" + i, 10, BASE_EJECTION_US)).as("flow %d", i).isEqualTo(i < 6);
         }
     }
 
     @Test
-    void oneThatFailsAgainIsAYoungOne() {
+    void flowThatFailsAgainBecomesTheYoungest() {
         var ejectedFlows = new EjectedFlows(2);
         var server = new FlowOutlierDetectors(ejectedFlows);
-        server.recordResult("a", false, 1, PAUSE);
-        server.recordResult("b", false, 2, PAUSE);
-        server.recordResult("a", false, 3, PAUSE);
-        server.recordResult("c", false, 4, PAUSE);
-        assertThat(server.isEligible("a", 5, PAUSE)).isFalse();
-        assertThat(server.isEligible("b", 5, PAUSE)).isTrue();
+        server.recordResult("a", false, 1, BASE_EJECTION_US);
+        server.recordResult("b", false, 2, BASE_EJECTION_US);
+        server.recordResult("a", false, 3, BASE_EJECTION_US);
+        server.recordResult("c", false, 4, BASE_EJECTION_US);
+        assertThat(server.isEligible("a", 5, BASE_EJECTION_US)).isFalse();
+        assertThat(server.isEligible("b", 5, BASE_EJECTION_US)).isTrue();
     }
 
     @Test
-    void oneThatGoesWellAgainLeavesNothing() {
+    void flowThatSucceedsAgainIsNoLongerStored() {
         var ejectedFlows = new EjectedFlows(2);
         var server = new FlowOutlierDetectors(ejectedFlows);
-        server.recordResult("a", false, 0, PAUSE);
-        server.recordResult("a", false, 2 * PAUSE, PAUSE);
-        server.recordResult("a", true, 9 * PAUSE, PAUSE);
-        assertThat(server.size()).as("half of its pause is left").isEqualTo(1);
-        server.recordResult("a", true, 9 * PAUSE, PAUSE);
+        server.recordResult("a", false, 0, BASE_EJECTION_US);
+        server.recordResult("a", false, 2 * BASE_EJECTION_US, BASE_EJECTION_US);
+        server.recordResult("a", true, 9 * BASE_EJECTION_US, BASE_EJECTION_US);
+        assertThat(server.size()).as("half of its ejection time is left").isEqualTo(1);
+        server.recordResult("a", true, 9 * BASE_EJECTION_US, BASE_EJECTION_US);
         assertThat(server.size() + ejectedFlows.size()).isZero();
     }
 
-    /** Its silence goes on counting, as that of any other. */
+    /** Otherwise, the silence of its attempts would no longer count against it. */
     @Test
-    void aForgivenFlowKeepsItsAttempts() {
+    void clearedFlowKeepsItsAttemptsInFlight() {
         var ejectedFlows = new EjectedFlows(1);
         var server = new FlowOutlierDetectors(ejectedFlows);
         server.attemptSent("a", 0);
         server.attemptSent("a", 0);
         server.attemptEnded("a", 1, true);
-        server.recordResult("a", false, 1, PAUSE);
-        server.recordResult("b", false, 2, PAUSE);
-        assertThat(server.isEligible("a", 3, PAUSE)).as("forgiven").isTrue();
-        assertThat(server.isEligible("a", 2 * PAUSE, PAUSE)).as("silent").isFalse();
-        server.attemptEnded("a", 2 * PAUSE, true);
+        server.recordResult("a", false, 1, BASE_EJECTION_US);
+        server.recordResult("b", false, 2, BASE_EJECTION_US);
+        assertThat(server.isEligible("a", 3, BASE_EJECTION_US)).as("failures cleared").isTrue();
+        assertThat(server.isEligible("a", 2 * BASE_EJECTION_US, BASE_EJECTION_US)).as("silent").isFalse();
+        server.attemptEnded("a", 2 * BASE_EJECTION_US, true);
         assertThat(server.size()).isEqualTo(1);
     }
 
     // Work
 
-    /** A name that counts how often it is asked for its hash, and compared. */
-    private static final class Name {
+    /** A map key that counts how often its hash code is read and how often it is compared. */
+    private static final class CountingKey {
         private final int number;
-        private final int[] asked;
+        private final int[] lookups;
 
-        Name(int number, int[] asked) {
+        CountingKey(int number, int[] lookups) {
             this.number = number;
-            this.asked = asked;
+            this.lookups = lookups;
         }
 
         @Override
         public int hashCode() {
-            asked[0]++;
+            lookups[0]++;
             return number * 0x9E3779B1;
         }
 
         @Override
         public boolean equals(Object other) {
-            asked[0]++;
-            return other instanceof Name name && name.number == number;
+            lookups[0]++;
+            return other instanceof CountingKey key && key.number == number;
         }
     }
 
-    /** Once with a list it took 144 million comparisons for 24,000 tenants, all on the loop that serves. */
+    /** With a list in place of a map, a reload of 24,000 tenants took 144 million comparisons, on the event loop that serves requests. */
     @ParameterizedTest
     @ValueSource(ints = {100, 1_000, 24_000})
-    void aReloadLooksUpEachTenantOnce(int tenants) {
-        var asked = new int[1];
+    void reloadLooksUpEachTenantOnce(int tenants) {
+        var lookups = new int[1];
         var items = new ArrayList<Integer>();
         for (int i = 0; i < tenants; i++) {
             items.add(i);
         }
-        Map<Name, Integer> first = TenantShares.rebuild(new HashMap<>(), items, i -> new Name(i, asked), (i, before) -> i);
-        Map<Name, Integer> next = TenantShares.rebuild(first, items, i -> new Name(i, asked), (i, before) -> before + 1);
+        Map<CountingKey, Integer> first = TenantShares.rebuild(new HashMap<>(), items, i -> new CountingKey(i, lookups), (i, before) -> i);
+        Map<CountingKey, Integer> next = TenantShares.rebuild(first, items, i -> new CountingKey(i, lookups), (i, before) -> before + 1);
         assertThat(next).hasSize(tenants);
-        assertThat(asked[0]).isLessThanOrEqualTo(6 * tenants);
+        assertThat(lookups[0]).isLessThanOrEqualTo(6 * tenants);
     }
 
     @Test
-    void aReloadAllocatesByTheTenant() {
+    void reloadAllocatesInProportionToTheTenants() {
         assertThat(reloadBytes(8_000)).isLessThan(12 * reloadBytes(1_000));
     }
 
@@ -175,19 +178,19 @@
         PolicyHarness proxy = proxy(10, tenants);
         var next = new Retuned(settings(tenants));
         proxy.feed(next);
-        return allocated(() -> proxy.feed(next));
+        return allocatedBytes(() -> proxy.feed(next));
     }
 
-    /** A pick looks at each server; it makes nothing for any. */
+    /** The choice of a server looks at each server, and must not allocate for each. */
     @Test
-    void aRequestAllocatesTheSameAtHoweverManyServers() {
+    void requestAllocatesTheSameForAnyNumberOfServers() {
         assertThat(requestBytes(2_000)).isLessThan(requestBytes(20) + 1_024);
     }
 
     private static long requestBytes(int servers) {
         PolicyHarness proxy = proxy(servers, 200);
-        once(proxy, 200, Outcome.OK);
-        return allocated(() -> {
+        requestOfEachTenant(proxy, 200, Outcome.OK);
+        return allocatedBytes(() -> {
             for (int i = 0; i < 50; i++) {
                 String id = proxy.arrive(PolicyHarness.READ, "t" + i);
                 proxy.feed(new AttemptEnded(id, 0, "", Outcome.OK, PolicyHarness.MS, true));
@@ -195,10 +198,10 @@
         }) / 50;
     }
 
-    private static long allocated(Runnable what) {
+    private static long allocatedBytes(Runnable task) {
         var threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long before = threads.getCurrentThreadAllocatedBytes();
-        what.run();
+        task.run();
         return threads.getCurrentThreadAllocatedBytes() - before;
     }
 }
--- a/proxy/src/test/java/walkpost/RandomizedRulesTest.java
+++ b/proxy/src/test/java/walkpost/RandomizedRulesTest.java
@@ -35,29 +35,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events, with the rules checked by books of the test's own. */
+/** Checks the rules in seeded runs of random valid events, with a model of its own that records requests, attempts and the list. */
 class RandomizedRulesTest {
-    private static final long TICK = 4_000;
+    private static final long TICK_US = 4_000;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
-    void theRulesHoldWhateverHappens(long seed) {
-        var books = new Books(seed);
-        books.run();
-        assertThat(books.finals).isEqualTo(books.arrived);
-        // That the run is worth something; how many are sent is the policy's own business.
-        assertThat(books.attemptsSent).isGreaterThan(30);
+    void rulesHoldForRandomEvents(long seed) {
+        var model = new Model(seed);
+        model.run();
+        assertThat(model.finalAnswers).isEqualTo(model.arrived);
+        // Enough attempts for the run to test something. How many are sent is up to the policy.
+        assertThat(model.attemptsSent).isGreaterThan(30);
     }
 
     private record Due(long at, long order, Event event) { }
 
-    private static final class Try {
+    private static final class SentAttempt {
         private final String backend;
         private final Backend sentTo;
         private final long sentAt;
         private Outcome outcome;
 
-        Try(Backend sentTo, long sentAt) {
+        SentAttempt(Backend sentTo, long sentAt) {
             this.backend = sentTo.id();
             this.sentTo = sentTo;
             this.sentAt = sentAt;
@@ -68,23 +68,23 @@
         }
     }
 
-    private static final class Open {
-        private final RequestClass type;
+    private static final class OpenRequest {
+        private final RequestClass requestClass;
         private final long deadline;
-        private final List<Try> tries = new ArrayList<>();
-        private boolean over;
+        private final List<SentAttempt> attempts = new ArrayList<>();
+        private boolean finished;
 
-        Open(RequestClass type, long deadline) {
-            this.type = type;
+        OpenRequest(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
     }
 
-    private static final class Books {
+    private static final class Model {
         private final Random random;
         private final Settings settings;
         private final Policy policy;
-        private final Map<String, Open> requests = new HashMap<>();
+        private final Map<String, OpenRequest> requests = new HashMap<>();
         private final Map<String, Backend> listed = new LinkedHashMap<>();
         private final Map<String, List<Long>> coldSends = new HashMap<>();
         private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at() != b.at()
@@ -92,10 +92,10 @@
         private long now = 5_000_000_000L;
         private long order;
         private int arrived;
-        private int finals;
+        private int finalAnswers;
         private int attemptsSent;
 
-        Books(long seed) {
+        Model(long seed) {
             random = new Random(seed);
             var classes = new ArrayList<RequestClass>();
             for (Effect effect : Effect.values()) {
@@ -105,7 +105,7 @@
                             scope, 100_000 + random.nextInt(1_000_000)));
                 }
             }
-            settings = new Settings(1 + random.nextInt(4), 0, "a", TICK, classes, random.nextBoolean() ? List.of()
+            settings = new Settings(1 + random.nextInt(4), 0, "a", TICK_US, classes, random.nextBoolean() ? List.of()
                     : List.of(new Tenant("t", 50)), 0.1, false,
                     new Limits(random.nextBoolean(), random.nextBoolean(), random.nextBoolean(), random.nextBoolean(),
                             1 + random.nextInt(5), 1_000_000),
@@ -116,41 +116,42 @@
 
         void run() {
             for (int i = 0; i < 6; i++) {
-                Backend b = backend("s" + i, State.READY, 0);
-                listed.put(b.id(), b);
+                Backend backend = backend("s" + i, State.READY, 0);
+                listed.put(backend.id(), backend);
             }
             feed(new Members(ListKind.CACHED, List.copyOf(listed.values())));
             long end = now + 20_000_000;
             while (now < end + 5_000_000) {
-                now += TICK;
+                now += TICK_US;
                 while (!due.isEmpty() && due.peek().at() <= now) {
                     deliver(due.poll().event());
                 }
                 if (now < end) {
-                    happen();
+                    generateEvents();
                 }
-                for (Open r : requests.values()) {
-                    assertThat(r.over || now <= r.deadline + 3 * TICK).as("answered before the client leaves").isTrue();
+                for (OpenRequest request : requests.values()) {
+                    assertThat(request.finished || now <= request.deadline + 3 * TICK_US).as("answered before the client leaves").isTrue();
                 }
-                requests.values().removeIf(r -> r.over && r.tries.stream().allMatch(t -> t.outcome != null));
+                requests.values().removeIf(request -> request.finished
+                        && request.attempts.stream().allMatch(attempt -> attempt.outcome != null));
             }
         }
 
-        private void happen() {
+        private void generateEvents() {
             int arrivals = random.nextInt(100) < 30 ? random.nextInt(4) : 0;
             for (int i = 0; i < arrivals; i++) {
-                RequestClass type = settings.classes().get(random.nextInt(settings.classes().size()));
-                long left = (long) (type.deadlineUs() * (0.2 + 0.8 * random.nextDouble()));
+                RequestClass requestClass = settings.classes().get(random.nextInt(settings.classes().size()));
+                long left = (long) (requestClass.deadlineUs() * (0.2 + 0.8 * random.nextDouble()));
                 String id = "q" + arrived++;
-                requests.put(id, new Open(type, now + left));
-                feed(new Arrival(id, type.name(), random.nextBoolean() ? "t" : null, null, left, random.nextInt(5) == 0, 0));
+                requests.put(id, new OpenRequest(requestClass, now + left));
+                feed(new Arrival(id, requestClass.name(), random.nextBoolean() ? "t" : null, null, left, random.nextInt(5) == 0, 0));
             }
             if (random.nextInt(200) == 0) {
                 String id = "s" + random.nextInt(8);
                 State state = State.values()[random.nextInt(3)];
-                Backend b = backend(id, state, random.nextInt(3) == 0 ? now - random.nextInt(3_000_000) : 0);
-                listed.put(id, b);
-                feed(new Members(ListKind.DELTA, List.of(b)));
+                Backend backend = backend(id, state, random.nextInt(3) == 0 ? now - random.nextInt(3_000_000) : 0);
+                listed.put(id, backend);
+                feed(new Members(ListKind.DELTA, List.of(backend)));
             }
             if (random.nextInt(1500) == 0) {
                 listed.clear();
@@ -168,23 +169,23 @@
 
         private void deliver(Event event) {
             if (event instanceof AttemptEnded e) {
-                Open r = requests.get(e.id());
-                if (r == null || r.tries.get(e.attempt()).outcome != null) {
+                OpenRequest request = requests.get(e.id());
+                if (request == null || request.attempts.get(e.attempt()).outcome != null) {
                     return;
                 }
-                Try t = r.tries.get(e.attempt());
-                t.outcome = e.outcome();
-                boolean closes = e.outcome() == Outcome.OK && !r.over;
+                SentAttempt attempt = request.attempts.get(e.attempt());
+                attempt.outcome = e.outcome();
+                boolean closes = e.outcome() == Outcome.OK && !request.finished;
                 if (closes) {
-                    r.over = true;
-                    finals++;
+                    request.finished = true;
+                    finalAnswers++;
                 }
-                feed(new AttemptEnded(e.id(), e.attempt(), e.backend(), e.outcome(), e.latencyUs(), r.over));
+                feed(new AttemptEnded(e.id(), e.attempt(), e.backend(), e.outcome(), e.latencyUs(), request.finished));
             } else if (event instanceof ClientGone e) {
-                Open r = requests.get(e.id());
-                if (r != null && !r.over) {
-                    r.over = true;
-                    finals++;
+                OpenRequest request = requests.get(e.id());
+                if (request != null && !request.finished) {
+                    request.finished = true;
+                    finalAnswers++;
                     feed(event);
                 }
             } else {
@@ -195,16 +196,16 @@
         private void feed(Event event) {
             policy.handle(now, event, action -> {
                 if (action instanceof Send a) {
-                    sent(a);
+                    checkAndRunAttempt(a);
                 } else if (action instanceof Refuse a) {
-                    refused(a.id());
+                    checkRefusal(a.id());
                 } else if (action instanceof Fail a) {
-                    over(a.id());
+                    finalAnswer(a.id());
                 } else if (action instanceof Cancel a) {
                     assertThat(settings.limits().cancel()).isTrue();
-                    Try t = requests.get(a.id()).tries.get(a.attempt());
-                    due.add(new Due(now + TICK, order++,
-                            new AttemptEnded(a.id(), a.attempt(), t.backend, Outcome.CANCELLED, now - t.sentAt, true)));
+                    SentAttempt attempt = requests.get(a.id()).attempts.get(a.attempt());
+                    due.add(new Due(now + TICK_US, order++,
+                            new AttemptEnded(a.id(), a.attempt(), attempt.backend, Outcome.CANCELLED, now - attempt.sentAt, true)));
                 } else if (action instanceof SetTimer a) {
                     due.add(new Due(Math.max(a.atUs(), now + 1), order++, new TimerFired(a.token())));
                 } else if (action instanceof Watch) {
@@ -213,62 +214,65 @@
             });
         }
 
-        private void over(String id) {
-            Open r = requests.get(id);
-            assertThat(r.over).as("one final answer").isFalse();
-            r.over = true;
-            finals++;
+        private void finalAnswer(String id) {
+            OpenRequest request = requests.get(id);
+            assertThat(request.finished).as("one final answer").isFalse();
+            request.finished = true;
+            finalAnswers++;
         }
 
-        private void refused(String id) {
-            Open r = requests.get(id);
-            for (Try t : r.tries) {
-                if (t.mayHaveRun(settings.rules())) {
-                    assertThat(r.type.effect()).isNotEqualTo(Effect.UNSAFE);
-                    assertThat(r.type.effect() == Effect.SAFE || r.type.scope() == Scope.ALL).isTrue();
+        private void checkRefusal(String id) {
+            OpenRequest request = requests.get(id);
+            for (SentAttempt attempt : request.attempts) {
+                if (attempt.mayHaveRun(settings.rules())) {
+                    assertThat(request.requestClass.effect()).isNotEqualTo(Effect.UNSAFE);
+                    assertThat(request.requestClass.effect() == Effect.SAFE || request.requestClass.scope() == Scope.ALL).isTrue();
                 }
             }
-            over(id);
+            finalAnswer(id);
         }
 
-        private void sent(Send a) {
-            Open r = requests.get(a.id());
-            Backend to = listed.get(a.backend());
+        private void checkAndRunAttempt(Send send) {
+            OpenRequest request = requests.get(send.id());
+            Backend to = listed.get(send.backend());
             attemptsSent++;
-            assertThat(r.over).as("nothing after the final answer").isFalse();
+            assertThat(request.finished).as("nothing after the final answer").isFalse();
             assertThat(to).as("a backend on the list").isNotNull();
             assertThat(to.state()).isEqualTo(State.READY);
-            assertThat(r.tries.size()).isLessThan(settings.limits().maxAttempts());
-            assertThat(a.timeoutUs()).isPositive();
-            assertThat(now + a.timeoutUs()).isLessThanOrEqualTo(r.deadline);
-            for (Try t : r.tries) {
-                assertThat(settings.limits().secondCopies() || t.outcome != null).isTrue();
-                if (t.mayHaveRun(settings.rules()) && r.type.effect() != Effect.SAFE) {
-                    assertThat(r.type.effect()).isEqualTo(Effect.KEYED);
-                    assertThat(now).isLessThan(t.sentAt + r.type.windowUs());
-                    assertThat(switch (r.type.scope()) {
+            assertThat(request.attempts.size()).isLessThan(settings.limits().maxAttempts());
+            assertThat(send.timeoutUs()).isPositive();
+            assertThat(now + send.timeoutUs()).isLessThanOrEqualTo(request.deadline);
+            for (SentAttempt attempt : request.attempts) {
+                assertThat(settings.limits().secondCopies() || attempt.outcome != null).isTrue();
+                if (attempt.mayHaveRun(settings.rules()) && request.requestClass.effect() != Effect.SAFE) {
+                    assertThat(request.requestClass.effect()).isEqualTo(Effect.KEYED);
+                    assertThat(now).isLessThan(attempt.sentAt + request.requestClass.windowUs());
+                    assertThat(switch (request.requestClass.scope()) {
                         case ALL -> true;
-                        case ZONE -> t.sentTo.zone().equals(to.zone());
-                        case CELL -> t.sentTo.cell() == to.cell();
+                        case ZONE -> attempt.sentTo.zone().equals(to.zone());
+                        case CELL -> attempt.sentTo.cell() == to.cell();
                     }).isTrue();
                 }
             }
-            cold(to);
-            r.tries.add(new Try(to, now));
-            int attempt = r.tries.size() - 1;
+            checkSlowStart(to);
+            request.attempts.add(new SentAttempt(to, now));
+            int attemptNumber = request.attempts.size() - 1;
             Outcome outcome = random.nextInt(10) < 6 ? Outcome.OK
                     : List.of(Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
                             .get(random.nextInt(5));
-            long latency = outcome == Outcome.TIMEOUT ? a.timeoutUs()
-                    : Math.min(a.timeoutUs() - 1, 1_000 + random.nextInt(60_000));
-            due.add(new Due(now + latency, order++, new AttemptEnded(a.id(), attempt, to.id(), outcome, latency, false)));
-            if (attempt == 0 && random.nextInt(50) == 0) {
-                due.add(new Due(now + random.nextInt(100_000), order++, new ClientGone(a.id())));
+            long latency = outcome == Outcome.TIMEOUT ? send.timeoutUs()
+                    : Math.min(send.timeoutUs() - 1, 1_000 + random.nextInt(60_000));
+            due.add(new Due(now + latency, order++, new AttemptEnded(send.id(), attemptNumber, to.id(), outcome, latency, false)));
+            if (attemptNumber == 0 && random.nextInt(50) == 0) {
+                due.add(new Due(now + random.nextInt(100_000), order++, new ClientGone(send.id())));
             }
         }
 
-        /** The budget of one instance: answers take over 25 ms in the mean, so a full backend does under 40 a second. */
-        private void cold(Backend to) {
+        /**
+         * Checks that one instance keeps to a cold backend's allowance. A response takes over 25 ms in the mean, so that a warm backend
+         * serves less than 40 requests a second.
+         */
+        private void checkSlowStart(Backend to) {
             Rules rules = settings.rules();
             if (to.startedAtUs() == 0 || now - to.startedAtUs() >= rules.coldUs()) {
                 return;
@@ -276,9 +280,9 @@
             List<Long> sends = coldSends.computeIfAbsent(to.id() + "@" + to.startedAtUs(), key -> new ArrayList<>());
             sends.add(now);
             long inWindow = sends.stream().filter(at -> at > now - rules.fallUs()).count();
-            double share = rules.coldFrom() + (1 - rules.coldFrom()) * (now - to.startedAtUs()) / rules.coldUs();
-            double most = rules.fallMultiple() * share * 40 * rules.fallUs() / 1e6 / settings.balancers();
-            assertThat((double) inWindow).as("cold budget").isLessThanOrEqualTo(Math.max(2, most));
+            double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * (now - to.startedAtUs()) / rules.coldUs();
+            double allowed = rules.fallMultiple() * warmth * 40 * rules.fallUs() / 1e6 / settings.balancers();
+            assertThat((double) inWindow).as("slow start allowance").isLessThanOrEqualTo(Math.max(2, allowed));
         }
     }
 }
--- a/proxy/src/test/java/walkpost/SettingsChangeTest.java
+++ b/proxy/src/test/java/walkpost/SettingsChangeTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change under the module. */
+/** Changes of the settings while the module is running. */
 class SettingsChangeTest {
     private final PolicyHarness proxy = new PolicyHarness(settings(LIMITS, READ, PAY));
 
@@ -28,57 +28,57 @@
         return new Settings(1, 0, "a", 4 * MS, List.of(classes), List.of(new Tenant("t", 1_000)), 0.05, false, limits, RULES, 7);
     }
 
-    private static Limits attempts(int most) {
-        return new Limits(true, false, false, false, most, 0);
+    private static Limits maxAttempts(int attempts) {
+        return new Limits(true, false, false, false, attempts, 0);
     }
 
     @Test
-    void openRequestsKeepTheirAttemptsAndNewOnesHaveFewer() {
-        proxy.list(backend("a"), backend("b"), backend("c"));
+    void newAttemptLimitAppliesToNewRequestsOnly() {
+        proxy.fullList(backend("a"), backend("b"), backend("c"));
         String open = proxy.arrive(READ);
-        proxy.feed(new Retuned(settings(attempts(1), READ, PAY)));
-        proxy.end(open, Outcome.ERROR, 10 * MS);
-        assertThat(proxy.sends(open)).isEqualTo(2);
-        proxy.end(open, Outcome.OK, 10 * MS);
+        proxy.feed(new Retuned(settings(maxAttempts(1), READ, PAY)));
+        proxy.endAttempt(open, Outcome.ERROR, 10 * MS);
+        assertThat(proxy.sendCount(open)).isEqualTo(2);
+        proxy.endAttempt(open, Outcome.OK, 10 * MS);
         String next = proxy.arrive(READ);
-        proxy.end(next, Outcome.ERROR, 10 * MS);
-        assertThat(proxy.sends(next)).isEqualTo(1);
+        proxy.endAttempt(next, Outcome.ERROR, 10 * MS);
+        assertThat(proxy.sendCount(next)).isEqualTo(1);
     }
 
-    /** What may be sent twice is a matter of the class as it was when the request came. */
+    /** Whether a request may be sent twice depends on its class as it was when the request arrived. */
     @Test
     void openRequestsKeepTheEffectOfTheirClass() {
-        proxy.list(backend("a"), backend("b"), backend("c"));
-        var once = new RequestClass("read", READ.aimUs(), READ.deadlineUs(), 1, 0, Effect.UNSAFE, Scope.ALL, 0);
+        proxy.fullList(backend("a"), backend("b"), backend("c"));
+        var runOnce = new RequestClass("read", READ.aimUs(), READ.deadlineUs(), 1, 0, Effect.UNSAFE, Scope.ALL, 0);
         String open = proxy.arrive(READ);
-        proxy.feed(new Retuned(settings(LIMITS, once, PAY)));
-        String next = proxy.arrive(once);
-        proxy.end(open, Outcome.RESET, 10 * MS);
-        proxy.end(next, Outcome.RESET, 10 * MS);
-        assertThat(proxy.sends(open)).isEqualTo(2);
-        assertThat(proxy.sends(next)).isEqualTo(1);
+        proxy.feed(new Retuned(settings(LIMITS, runOnce, PAY)));
+        String next = proxy.arrive(runOnce);
+        proxy.endAttempt(open, Outcome.RESET, 10 * MS);
+        proxy.endAttempt(next, Outcome.RESET, 10 * MS);
+        assertThat(proxy.sendCount(open)).isEqualTo(2);
+        assertThat(proxy.sendCount(next)).isEqualTo(1);
     }
 
     @Test
-    void newClassesAreServedAndDroppedOnesStillOnTheirWay() {
-        proxy.list(backend("a"), backend("b"));
+    void newClassesAreServedAndSoAreLateRequestsOfRemovedOnes() {
+        proxy.fullList(backend("a"), backend("b"));
         var browse = new RequestClass("browse", 300 * MS, S, 5, 0, Effect.SAFE, Scope.ALL, 0);
         proxy.feed(new Retuned(settings(LIMITS, browse)));
         assertThat(proxy.serve(browse, 10 * MS)).isIn("a", "b");
         assertThat(proxy.serve(READ, 10 * MS)).isIn("a", "b");
     }
 
-    /** A server that is put off is not tried by all once more because the settings are others. */
+    /** Otherwise, all proxies would try an ejected server again after each change of the settings. */
     @Test
-    void keepsWhatItHasLearnedOfServers() {
-        proxy.list(backend("a"), backend("b"), backend("c"), backend("d"));
+    void ejectionsAreKept() {
+        proxy.fullList(backend("a"), backend("b"), backend("c"), backend("d"));
         String id = proxy.arrive(READ);
-        String ill = proxy.lastSend(id).backend();
-        proxy.end(id, Outcome.CONNECT_FAILED, 10 * MS);
-        proxy.end(id, Outcome.OK, 10 * MS);
+        String failed = proxy.lastSend(id).backend();
+        proxy.endAttempt(id, Outcome.CONNECT_FAILED, 10 * MS);
+        proxy.endAttempt(id, Outcome.OK, 10 * MS);
         proxy.feed(new Retuned(settings(LIMITS, PAY, READ)));
         for (int i = 0; i < 20; i++) {
-            assertThat(proxy.serve(READ, 10 * MS)).isNotEqualTo(ill);
+            assertThat(proxy.serve(READ, 10 * MS)).isNotEqualTo(failed);
         }
     }
 }
--- a/proxy/src/test/java/walkpost/SlowStartFleetTest.java
+++ b/proxy/src/test/java/walkpost/SlowStartFleetTest.java
@@ -14,21 +14,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Rule 4 over a whole fleet on one clock: proxies that say nothing to each other, and the sum of what they send. */
+/**
+ * Slow start (rule 4) over a whole fleet on one clock. Guards against proxies that each keep to their part, without communication, and
+ * together send a cold backend too much.
+ */
 class SlowStartFleetTest {
     private static final int SEEDS = 20;
-    private static final int WARM = 10;
+    private static final int WARM_BACKENDS = 10;
 
     private final List<Long> sends = new ArrayList<>();
     private final List<PolicyHarness> fleet = new ArrayList<>();
     private Random random;
     private Rules rules;
     private long now = 1000 * PolicyHarness.S;
-    /** A warm backend does one request after the other, each in so long. */
+    /** The time that a warm backend takes for a request; it does one after the other. */
     private long requestUs;
 
-    /** Beyond what the settings allow, twice its root and two more are chance. */
-    private void assertNeverMoreThanChance(long startedAt) {
+    /** Checks each window: beyond what the settings allow, twice its square root and two more are allowed for chance. */
+    private void assertEachWindowWithinAllowance(long startedAt) {
         for (long from : sends) {
             double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * (from + rules.fallUs() - startedAt) / rules.coldUs();
             double allowed = rules.fallMultiple() * warmth * rules.fallUs() / requestUs;
@@ -39,8 +42,8 @@
     }
 
     private PolicyHarness proxy(int rank, int proxies) {
-        return new PolicyHarness(new Settings(proxies, rank, "a", PolicyHarness.MS, List.of(PolicyHarness.READ), List.of(), 1, false, PolicyHarness.LIMITS, rules,
-                random.nextLong()));
+        return new PolicyHarness(new Settings(proxies, rank, "a", PolicyHarness.MS, List.of(PolicyHarness.READ), List.of(), 1, false,
+                PolicyHarness.LIMITS, rules, random.nextLong()));
     }
 
     private void start(int proxies, double coldFrom, long requestMs, long seed) {
@@ -52,109 +55,109 @@
         for (int rank = 0; rank < proxies; rank++) {
             fleet.add(proxy(rank, proxies));
         }
-        list(warm());
+        sendList(warmBackends());
     }
 
-    private static List<Balancer.Backend> warm() {
+    private static List<Balancer.Backend> warmBackends() {
         var backends = new ArrayList<Balancer.Backend>();
-        for (int i = 0; i < WARM; i++) {
+        for (int i = 0; i < WARM_BACKENDS; i++) {
             backends.add(PolicyHarness.backend("s" + i));
         }
         return backends;
     }
 
-    private void list(List<Balancer.Backend> backends) {
-        for (PolicyHarness p : fleet) {
-            p.now = now;
-            p.feed(new Members(ListKind.FULL, backends));
+    private void sendList(List<Balancer.Backend> backends) {
+        for (PolicyHarness proxy : fleet) {
+            proxy.now = now;
+            proxy.feed(new Members(ListKind.FULL, backends));
         }
     }
 
-    /** For so long the backends are kept busy, all proxies alike and none in step. */
+    /** Keeps the backends busy for {@code forUs}, with requests at random proxies. */
     private void traffic(long forUs) {
         long until = now + forUs;
-        long gapUs = 2 * requestUs / WARM;
+        long gapUs = 2 * requestUs / WARM_BACKENDS;
         while (now < until) {
             serve(fleet.get(random.nextInt(fleet.size())));
             now += gapUs;
         }
     }
 
-    /** All proxies are asked for more than the warm ones may have, all in the same moment. */
-    private void rush() {
-        for (PolicyHarness p : fleet) {
-            for (int i = 0; i < 2 * WARM; i++) {
-                serve(p);
+    /** Sends each proxy at the same moment more requests than its warm backends may have. */
+    private void burst() {
+        for (PolicyHarness proxy : fleet) {
+            for (int i = 0; i < 2 * WARM_BACKENDS; i++) {
+                serve(proxy);
             }
         }
     }
 
-    private void serve(PolicyHarness p) {
-        p.now = now;
-        String id = p.arrive(PolicyHarness.READ);
-        for (Send s = p.lastSend(id); s != null && p.sends(id) == 1; s = null) {
-            if (s.backend().equals("cold")) {
+    private void serve(PolicyHarness proxy) {
+        proxy.now = now;
+        String id = proxy.arrive(PolicyHarness.READ);
+        for (Send send = proxy.lastSend(id); send != null && proxy.sendCount(id) == 1; send = null) {
+            if (send.backend().equals("cold")) {
                 sends.add(now);
             }
-            p.end(id, Outcome.OK, requestUs);
+            proxy.endAttempt(id, Outcome.OK, requestUs);
         }
     }
 
-    private long coldOneStarts() {
-        var backends = warm();
+    private long startColdBackend() {
+        var backends = warmBackends();
         backends.add(PolicyHarness.started("cold", now));
-        list(backends);
+        sendList(backends);
         return now;
     }
 
     @ParameterizedTest
     @CsvSource({"1,0.4,50", "20,0.1,200", "30,0.1,200", "100,0.4,50", "100,0.1,50"})
-    void theSumStaysWithinWhatAColdBackendBears(int proxies, double coldFrom, long requestMs) {
+    void proxiesTogetherKeepToTheAllowanceOfAColdBackend(int proxies, double coldFrom, long requestMs) {
         int sent = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             start(proxies, coldFrom, requestMs, seed);
             traffic(5 * PolicyHarness.S);
-            long startedAt = coldOneStarts();
+            long startedAt = startColdBackend();
             traffic(5 * PolicyHarness.S);
-            rush();
-            assertNeverMoreThanChance(startedAt);
+            burst();
+            assertEachWindowWithinAllowance(startedAt);
             sent += sends.size();
         }
-        assertThat(sent).as("it gets its part, if a small one").isGreaterThan(SEEDS);
+        assertThat(sent).as("the cold backend gets some requests").isGreaterThan(SEEDS);
     }
 
-    /** Nobody has sent anything for a while, so each could have saved up: all send in the same moment. */
+    /** Without traffic for a while, each proxy could save up its allowance, and then all send at the same moment. */
     @ParameterizedTest
     @CsvSource({"1,0.4,50", "20,0.1,200", "30,0.1,200", "100,0.4,50", "100,0.1,50"})
-    void soItDoesAfterALull(int proxies, double coldFrom, long requestMs) {
+    void proxiesTogetherKeepToTheAllowanceAfterALull(int proxies, double coldFrom, long requestMs) {
         for (int seed = 0; seed < SEEDS; seed++) {
             start(proxies, coldFrom, requestMs, seed);
             traffic(5 * PolicyHarness.S);
-            long startedAt = coldOneStarts();
+            long startedAt = startColdBackend();
             now += 12 * PolicyHarness.S;
-            rush();
-            assertNeverMoreThanChance(startedAt);
+            burst();
+            assertEachWindowWithinAllowance(startedAt);
         }
     }
 
-    /** All proxies are started anew just after a rush, and none knows what it had sent. */
+    /** All proxies are restarted just after a burst, and none knows what it sent before. */
     @ParameterizedTest
     @CsvSource({"1,0.4,50", "20,0.1,200", "30,0.1,200", "100,0.4,50", "100,0.1,50"})
-    void soItDoesWhereAllProxiesAreRestarted(int proxies, double coldFrom, long requestMs) {
+    void proxiesTogetherKeepToTheAllowanceIfAllAreRestarted(int proxies, double coldFrom, long requestMs) {
         for (int seed = 0; seed < SEEDS; seed++) {
             start(proxies, coldFrom, requestMs, seed);
             traffic(5 * PolicyHarness.S);
-            long startedAt = coldOneStarts();
+            long startedAt = startColdBackend();
             now += 12 * PolicyHarness.S;
-            rush();
+            burst();
             now += PolicyHarness.S / 2;
-            fleet.replaceAll(p -> proxy(fleet.indexOf(p), proxies));
-            var backends = warm();
+            fleet.replaceAll(proxy -> proxy(fleet.indexOf(proxy), proxies));
+            var backends = warmBackends();
             backends.add(PolicyHarness.started("cold", startedAt));
-            list(backends);
+            sendList(backends);
             now += PolicyHarness.S / 4;
-            rush();
-            assertNeverMoreThanChance(startedAt);
+            burst();
+            assertEachWindowWithinAllowance(startedAt);
         }
     }
 }
--- a/proxy/src/test/java/walkpost/slope/ModuleDrive.java
+++ b/proxy/src/test/java/walkpost/slope/ModuleDrive.java
@@ -32,11 +32,12 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** One module of 590, driven in virtual time: each attempt is answered after 20 ms. */
+/** Drives the module of one proxy of 590 in virtual time: each attempt is answered after 20 ms. Single-threaded; times in microseconds. */
 final class ModuleDrive {
     private record Due(long at, long order, Event event) { }
 
     static final int PROXIES = 590;
+    /** Microseconds in a second. */
     static final long S = 1_000_000;
     static final long ANSWER_US = 20_000;
 
@@ -83,10 +84,10 @@
     }
 
     void feed(Event event) {
-        policy.handle(now, event, this::hear);
+        policy.handle(now, event, this::carryOut);
     }
 
-    private void hear(Action action) {
+    private void carryOut(Action action) {
         if (action instanceof Send send) {
             sends++;
             onSend.accept(send);
@@ -103,17 +104,17 @@
         feed(new Members(kind, backends));
     }
 
-    /** All servers answer so from now on. */
-    void answer(Outcome outcome) {
+    /** Sets the outcome of all further attempts. */
+    void answerWith(Outcome outcome) {
         answer = outcome;
     }
 
-    void onSend(Consumer<Send> hearer) {
-        onSend = hearer;
+    void onSend(Consumer<Send> listener) {
+        onSend = listener;
     }
 
-    /** Time passes: answers come and timers fire when they are due. */
-    void until(long end) {
+    /** Advances the time to {@code end}, and passes on the answers and timers that fall due meanwhile. */
+    void advanceTo(long end) {
         while (!due.isEmpty() && due.peek().at() <= end) {
             Due next = due.poll();
             now = Math.max(now, next.at());
@@ -125,15 +126,15 @@
         now = Math.max(now, end);
     }
 
-    void arrive(int type, int tenant) {
+    void arrive(int requestClass, int tenant) {
         String name = settings.tenants().isEmpty() ? null : "tenant-" + tenant % settings.tenants().size();
-        feed(new Arrival("r" + requests++, settings.classes().get(type).name(), name, null, 2 * S, false, 0));
+        feed(new Arrival("r" + requests++, settings.classes().get(requestClass).name(), name, null, 2 * S, false, 0));
     }
 
-    /** One request, and the time that its answer takes. */
-    void request(int type, int tenant) {
-        arrive(type, tenant);
-        until(now + ANSWER_US);
+    /** Lets a request arrive and advances the time until its answer. */
+    void request(int requestClass, int tenant) {
+        arrive(requestClass, tenant);
+        advanceTo(now + ANSWER_US);
     }
 
     int requests() {
@@ -148,38 +149,39 @@
         return refused;
     }
 
-    /** Each tenant and class once, at {@code perS} requests a second. */
-    void once(int classes, int tenants, double perS) {
-        for (int type = 0; type < classes; type++) {
+    /** Sends one request of each tenant and class, at {@code requestsPerS} a second. */
+    void requestOfEachTenantAndClass(int classes, int tenants, double requestsPerS) {
+        for (int requestClass = 0; requestClass < classes; requestClass++) {
             for (int tenant = 0; tenant < tenants; tenant++) {
-                request(type, tenant);
-                until(now + Math.max(0, (long) (S / perS) - ANSWER_US));
+                request(requestClass, tenant);
+                advanceTo(now + Math.max(0, (long) (S / requestsPerS) - ANSWER_US));
             }
         }
     }
 
-    /** Requests one after the other, 31 ms apart; returns what each took of the CPU's time, arrival and end, in ns, sorted. */
-    long[] steady(int count, int classes, int tenants) {
-        var took = new long[count];
+    /** Sends requests one after the other, 31 ms apart, and returns the sorted CPU times of each (arrival and end together), in ns. */
+    long[] measureRequests(int count, int classes, int tenants) {
+        var cpuTimesNs = new long[count];
         for (int i = 0; i < count; i++) {
-            long from = cpuNs();
+            long beginNs = cpuNs();
             request(i % classes, i * 7919 % Math.max(1, tenants));
-            took[i] = cpuNs() - from;
-            until(now + S / 92);
+            cpuTimesNs[i] = cpuNs() - beginNs;
+            advanceTo(now + S / 92);
         }
-        Arrays.sort(took);
-        return took;
+        Arrays.sort(cpuTimesNs);
+        return cpuTimesNs;
     }
 
-    /** What this thread has had of a core: other work on the machine does not count, but for its use of caches. */
+    /** Returns the CPU time of this thread. Other work on the machine affects it only by its use of the CPU caches. */
     static long cpuNs() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    static double quantileUs(long[] sortedNs, double part) {
-        return sortedNs[(int) Math.min(sortedNs.length - 1, part * sortedNs.length)] / 1e3;
+    static double quantileUs(long[] sortedNs, double quantile) {
+        return sortedNs[(int) Math.min(sortedNs.length - 1, quantile * sortedNs.length)] / 1e3;
     }
 
+    /** Returns the used heap after three garbage collections. */
     static long usedBytes() {
         for (int i = 0; i < 3; i++) {
             System.gc();
@@ -187,15 +189,15 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** The median of five, in ms. */
-    static double medianMs(Runnable what) {
-        var took = new long[5];
-        for (int i = 0; i < took.length; i++) {
-            long from = cpuNs();
-            what.run();
-            took[i] = cpuNs() - from;
+    /** Runs a task five times and returns the median CPU time, in ms. */
+    static double medianMs(Runnable task) {
+        var cpuTimesNs = new long[5];
+        for (int i = 0; i < cpuTimesNs.length; i++) {
+            long beginNs = cpuNs();
+            task.run();
+            cpuTimesNs[i] = cpuNs() - beginNs;
         }
-        Arrays.sort(took);
-        return took[2] / 1e6;
+        Arrays.sort(cpuTimesNs);
+        return cpuTimesNs[2] / 1e6;
     }
 }
--- a/proxy/src/test/java/walkpost/slope/ModuleSlope.java
+++ b/proxy/src/test/java/walkpost/slope/ModuleSlope.java
@@ -9,57 +9,62 @@
 import java.util.List;
 
 /**
- * What the decision module takes by servers, tenants, classes and list changes. A probe, not a test:
- * {@code docs/capacity-module.md} has the command and what it gave.
+ * Measures CPU time and heap of the decision module by the number of servers, tenants, classes and list changes. A benchmark program, not
+ * a test: {@code docs/capacity-module.md} has the command and its results.
  */
 public final class ModuleSlope {
     private ModuleSlope() { }
 
-    /** Plays the slope that is named: servers, tenants, classes, changes, failing or size. */
+    /**
+     * Runs a measurement.
+     *
+     * @param args one of servers, tenants, classes, changes, failing and size
+     */
     public static void main(String[] args) {
-        // So that no size pays for the compiler's work.
-        point(200, 1, 200, true);
-        point(200, 1, 200, true);
+        // Warms up, so that no size pays for the work of the JIT compiler.
+        measure(200, 1, 200, true);
+        measure(200, 1, 200, true);
         switch (args[0]) {
             case "servers" -> {
                 for (int servers : new int[] {33, 100, 400, 1_600, 6_200}) {
-                    point(servers, 1, 1_000, false);
+                    measure(servers, 1, 1_000, false);
                 }
             }
             case "tenants" -> {
                 for (int tenants : new int[] {240, 1_000, 6_000, 24_000}) {
-                    point(400, 1, tenants, false);
+                    measure(400, 1, tenants, false);
                 }
             }
             case "classes" -> {
                 for (int classes : new int[] {1, 3, 10, 30}) {
-                    point(400, classes, 1_000, false);
+                    measure(400, classes, 1_000, false);
                 }
             }
             case "changes" -> {
                 for (int changed : new int[] {1, 10, 100, 620, 6_200}) {
-                    changes(6_200, changed);
+                    measureChanges(6_200, changed);
                 }
-                replaced(6_200, 20, 620);
+                measureReplacements(6_200, 20, 620);
             }
             case "failing" -> {
                 for (int servers : new int[] {33, 400, 1_600, 6_200}) {
-                    failing(servers, 24_000);
+                    measureFailures(servers, 24_000);
                 }
             }
-            case "size" -> point(6_200, 1, 24_000, false);
-            default -> throw new IllegalArgumentException("no slope " + args[0]);
+            case "size" -> measure(6_200, 1, 24_000, false);
+            default -> throw new IllegalArgumentException("unknown measurement '" + args[0]
+                    + "', expected one of servers, tenants, classes, changes, failing, size");
         }
     }
 
-    private static void point(int servers, int classes, int tenants, boolean quiet) {
+    private static void measure(int servers, int classes, int tenants, boolean warmUp) {
         try {
-            var held = new ModuleDrive[1];
-            String figures = played(servers, classes, tenants, held);
-            long with = ModuleDrive.usedBytes();
-            held[0] = null;
-            long heap = with - ModuleDrive.usedBytes();
-            if (!quiet) {
+            var retained = new ModuleDrive[1];
+            String figures = measureTimes(servers, classes, tenants, retained);
+            long usedWithModule = ModuleDrive.usedBytes();
+            retained[0] = null;
+            long heap = usedWithModule - ModuleDrive.usedBytes();
+            if (!warmUp) {
                 System.out.printf("servers %5d  classes %2d  tenants %5d  %s  heap %.2f MB (%.1f B a pair)%n", servers, classes,
                         tenants, figures, heap / 1e6, heap / (double) servers / tenants / classes);
             }
@@ -69,25 +74,25 @@
         }
     }
 
-    /** Its heap is that of the module with its settings and its list, which {@code held} alone holds on to. */
-    private static String played(int servers, int classes, int tenants, ModuleDrive[] held) {
+    /** Measures CPU times. Leaves the module, with its settings and its list, referenced by {@code retained} alone, to measure its heap. */
+    private static String measureTimes(int servers, int classes, int tenants, ModuleDrive[] retained) {
         var settings = ModuleDrive.settings(ModuleDrive.PROXIES, 17, classes, tenants);
         List<Backend> list = ModuleDrive.servers(servers);
         var drive = new ModuleDrive(settings);
-        held[0] = drive;
-        long from = ModuleDrive.cpuNs();
+        retained[0] = drive;
+        long beginNs = ModuleDrive.cpuNs();
         drive.list(ListKind.FULL, list);
-        double firstMs = (ModuleDrive.cpuNs() - from) / 1e6;
+        double firstMs = (ModuleDrive.cpuNs() - beginNs) / 1e6;
         double listMs = ModuleDrive.medianMs(() -> drive.list(ListKind.FULL, list));
-        drive.once(classes, tenants, 92);
-        long[] took = drive.steady(2_000, classes, tenants);
+        drive.requestOfEachTenantAndClass(classes, tenants, 92);
+        long[] requestNs = drive.measureRequests(2_000, classes, tenants);
         double reloadMs = ModuleDrive.medianMs(() -> drive.feed(new Retuned(settings)));
         return String.format("list first %.1f ms again %.1f ms  request p50 %.1f us p99 %.1f us max %.0f us  reload %.2f ms", firstMs,
-                listMs, ModuleDrive.quantileUs(took, 0.5), ModuleDrive.quantileUs(took, 0.99), ModuleDrive.quantileUs(took, 1),
-                reloadMs);
+                listMs, ModuleDrive.quantileUs(requestNs, 0.5), ModuleDrive.quantileUs(requestNs, 0.99),
+                ModuleDrive.quantileUs(requestNs, 1), reloadMs);
     }
 
-    private static void changes(int servers, int changed) {
+    private static void measureChanges(int servers, int changed) {
         var drive = new ModuleDrive(ModuleDrive.settings(ModuleDrive.PROXIES, 17, 1, 0));
         List<Backend> list = ModuleDrive.servers(servers);
         drive.list(ListKind.FULL, list);
@@ -95,8 +100,8 @@
         System.out.printf("servers %5d  changed %5d  %.2f ms  %.2f us a change%n", servers, changed, ms, 1e3 * ms / changed);
     }
 
-    /** Machines that go for good and others that come, told as changes: what is left of those that went. */
-    private static void replaced(int servers, int rounds, int each) {
+    /** Replaces servers by others in list changes, and measures the heap that the removed ones leave behind. */
+    private static void measureReplacements(int servers, int rounds, int each) {
         var drive = new ModuleDrive(ModuleDrive.settings(ModuleDrive.PROXIES, 17, 1, 0));
         var list = new ArrayList<>(ModuleDrive.servers(servers));
         drive.list(ListKind.FULL, list);
@@ -115,12 +120,12 @@
         System.out.printf("then a whole list  heap +%.2f MB%n", (ModuleDrive.usedBytes() - before) / 1e6);
     }
 
-    /** All answers are errors: what is kept of flows that failed, request by request. */
-    private static void failing(int servers, int tenants) {
+    /** Answers all requests with errors, and measures the heap taken by flows that failed. */
+    private static void measureFailures(int servers, int tenants) {
         var drive = new ModuleDrive(ModuleDrive.settings(ModuleDrive.PROXIES, 17, 1, tenants));
         drive.list(ListKind.FULL, ModuleDrive.servers(servers));
-        drive.steady(100, 1, tenants);
-        drive.answer(Outcome.ERROR);
+        drive.measureRequests(100, 1, tenants);
+        drive.answerWith(Outcome.ERROR);
         long before = ModuleDrive.usedBytes();
         for (int i = 0; i < 60_000; i++) {
             if (i % 15_000 == 0) {
--- a/proxy/src/test/java/walkpost/wire/InstanceHostTest.java
+++ b/proxy/src/test/java/walkpost/wire/InstanceHostTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire: round trips, several instances, and plain messages about malformed input. */
+/** The wire format: events and actions in both directions, several instances, and the errors for malformed input. */
 class InstanceHostTest {
     private static final String SETUP = "balancers=3 rank=2 bounds.cancel=true bounds.may_duplicate=false bounds.most_tries=4 "
             + "bounds.probes=false bounds.max_retry_after_us=2000000 registry_mode=on_request locality=skoyen "
@@ -37,11 +37,11 @@
     private final List<Balancer.Action> actions = new ArrayList<>();
 
     private int run(String input) throws IOException {
-        return new InstanceHost(s -> {
-            settings.add(s);
+        return new InstanceHost(read -> {
+            settings.add(read);
             return (now, event, sink) -> {
                 events.add(event);
-                if (event instanceof Balancer.TimerFired t && t.token().equals("boom")) {
+                if (event instanceof Balancer.TimerFired timer && timer.token().equals("boom")) {
                     throw new IllegalStateException("out\nof order");
                 }
                 actions.forEach(sink);
@@ -50,11 +50,11 @@
                 new PrintStream(errors, true, StandardCharsets.UTF_8));
     }
 
-    private String written() {
+    private String output() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private String complaint() {
+    private String errorText() {
         return errors.toString(StandardCharsets.UTF_8).strip();
     }
 
@@ -63,9 +63,9 @@
     }
 
     @Test
-    void anEmptyBatchIsAnsweredAndTheEndIsClean() throws IOException {
+    void emptyBatchIsAnsweredAndTheExitCodeIs0() throws IOException {
         assertThat(run(batch())).isZero();
-        assertThat(written()).isEqualTo("ok\n");
+        assertThat(output()).isEqualTo("ok\n");
     }
 
     @Test
@@ -103,7 +103,7 @@
                 new Balancer.Cancel("t/1", 2), new Balancer.Probe("b:1"), new Balancer.Watch(true),
                 new Balancer.Fetch(), new Balancer.Release("b:1"), new Balancer.Log("two\nlines")));
         assertThat(run(batch(UP, "deadline_hit who=3 ctx=x\n"))).isZero();
-        assertThat(written()).isEqualTo("""
+        assertThat(output()).isEqualTo("""
                 relay who=3 op_id=t/1 backend=b:1 max_wait_us=80
                 arm who=3 fire_at_us=90 ctx=q
                 not_now who=3 op_id=t/1
@@ -120,16 +120,16 @@
     }
 
     @Test
-    void anInstanceStartsAfreshAfterADetachInTheSameBatch() throws IOException {
+    void instanceIsCreatedAnewAfterADetachInTheSameBatch() throws IOException {
         assertThat(run(batch(UP) + batch("detach who=3\n", UP, "hangup who=3 op_id=t/1\n"))).isZero();
         assertThat(settings).hasSize(2);
         assertThat(events).hasSize(1);
     }
 
     @Test
-    void aFailureOfTheModulePanicsThatInstanceAndSaysWhere() throws IOException {
+    void exceptionOfTheModuleIsReportedAsPanicWithItsPlace() throws IOException {
         assertThat(run(batch(UP, "deadline_hit who=3 ctx=boom\n"))).isZero();
-        assertThat(written()).startsWith("panic who=3 message=java.lang.IllegalStateException: out of order at walkpost")
+        assertThat(output()).startsWith("panic who=3 message=java.lang.IllegalStateException: out of order at walkpost")
                 .endsWith("\nok\n").contains("InstanceHostTest.java:");
     }
 
@@ -143,36 +143,37 @@
         "hangup who=3 op_id| malformed field 'op_id', expected key=value",
         "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=odd| completed: unknown value 'odd' in 'how', "
             + "expected one of [app_error, delivered, dial_failed, dropped, expired, revoked, shed, unused]",
-        "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=shed last=2| completed: field 'last' is '2', expected 0, 1, false or true",
+        "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=shed last=2| "
+            + "completed: field 'last' is '2', expected 0, 1, false or true",
         "update who=3 form=whole nodes_list=1| expected 'entry', found 'commit'",
         "batch wall_us=2| batch: missing field 'who'"})
-    void saysWhatIsMalformedAndWhere(String line, String message) throws IOException {
+    void errorNamesTheMalformedFieldAndTheLine(String line, String message) throws IOException {
         assertThat(run(batch(UP, line + "\n"))).isEqualTo(1);
-        assertThat(complaint()).matches("line [34]: .*").endsWith(message.strip());
-        assertThat(written()).isEmpty();
+        assertThat(errorText()).matches("line [34]: .*").endsWith(message.strip());
+        assertThat(output()).isEmpty();
     }
 
     @Test
-    void refusesAnythingOutsideABatch() throws IOException {
+    void refusesLinesOutsideABatch() throws IOException {
         assertThat(run("hangup who=3\n")).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 1: expected 'batch', found 'hangup'");
+        assertThat(errorText()).isEqualTo("line 1: expected 'batch', found 'hangup'");
     }
 
     @Test
     void refusesInputCutInsideABatch() throws IOException {
         assertThat(run("batch wall_us=1\n" + UP)).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 3: input ends inside a batch");
+        assertThat(errorText()).isEqualTo("line 3: input ends inside a batch");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"balancers", "rank", "bounds.cancel", "bounds.most_tries", "registry_mode", "locality", "quantum_us",
         "invariants.cold_from", "invariants.fall_us", "invariants.must_ask_in_us", "over_share_worth", "profiles.count",
         "profiles.0.aim_us", "profiles.0.effect", "profiles.0.window_us", "projects.0.allowance_per_s"})
-    void namesAMissingSetting(String setting) throws IOException {
+    void errorNamesAMissingSetting(String setting) throws IOException {
         String without = UP.replaceAll(" " + setting.replace(".", "\\.") + "=\\S*", "");
         assertThat(without).isNotEqualTo(UP);
         assertThat(run(batch(without))).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 2: up: missing setting '" + setting + "'");
+        assertThat(errorText()).isEqualTo("line 2: up: missing setting '" + setting + "'");
     }
 
     @ParameterizedTest
@@ -181,8 +182,8 @@
         "profiles.0.aim_us=400000| profiles.0.aim_us=-1| invalid setting: aim of class pay is -1, expected more than 0 us",
         "bounds.cancel=true| bounds.cancel=maybe| unknown value 'maybe' in setting 'bounds.cancel'",
         "quantum_us=4000| quantum_us=4.5| setting 'quantum_us' is '4.5', expected a whole number"})
-    void namesASettingThatCannotBe(String good, String bad, String message) throws IOException {
+    void errorNamesAnInvalidSetting(String good, String bad, String message) throws IOException {
         assertThat(run(batch(UP.replace(good, bad)))).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 2: up: " + message);
+        assertThat(errorText()).isEqualTo("line 2: up: " + message);
     }
 }
