--- a/proxy/src/test/java/walkpost/slope/ColdSlope.java
+++ b/proxy/src/test/java/walkpost/slope/ColdSlope.java
@@ -34,8 +34,8 @@
             }
             waits.sort(null);
             System.out.printf("proxies %4s  servers %5s  %.2f requests/s each  first request to a cold server after %.2f s "
-                    + "(least %.2f, most %.2f); %d in %s s over %s starts%n", args[i], args[i + 1], requestsPerS, waits.get(waits.size() / 2), waits.get(0),
-                    waits.get(waits.size() - 1), sendsInTime, args[1], args[2]);
+                    + "(least %.2f, most %.2f); %d in %s s over %s starts%n", args[i], args[i + 1], requestsPerS,
+                    waits.get(waits.size() / 2), waits.get(0), waits.get(waits.size() - 1), sendsInTime, args[1], args[2]);
         }
     }
 
