--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -176,7 +176,7 @@
     /** A probe has ended. */
     record ProbeEnded(String backend, Outcome outcome, long latencyUs) implements Event { }
 
-    /** An action for the proxy to carry out. Tests hash the text of actions, so that their names and components stay. */
+    /** An action for the proxy to carry out. A test hashes the text of actions, so that their names and components must stay. */
     sealed interface Action permits Send, Refuse, Fail, Cancel, Release, SetTimer, Probe, Watch, Fetch, Log { }
 
     /**
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -20,6 +20,16 @@
  * (virtualTime + 1) / weight, where weight = c / (sum of all c), and c = 1 / (response time of the server's kind, as this proxy has
  * measured it). The virtual time of a server is the number of requests sent to it since the last refresh of the weights.
  *
+ * <p>Comments refer to the rules by number:
+ * <ol>
+ * <li>Every request gets one final answer, before its client's deadline.
+ * <li>A request that may have run is sent again only if its class allows that.
+ * <li>A server that drains or is gone gets no further attempts.
+ * <li>All proxies together do not overload a cold server.
+ * <li>{@link Outcome#FULL} proves that a request did not run, unless {@link Rules} says otherwise.
+ * <li>No idle connection is kept to a server that drains or is gone.
+ * </ol>
+ *
  * <p>Not thread-safe: one thread makes all calls. It does no I/O, and equal settings, seed and events give equal actions. Names that
  * end in {@code At} or {@code Until}, and deadlines, are times on the proxy's clock in microseconds.
  */
