--- a/proxy/src/main/java/walkpost/proxy/BodyRelay.java
+++ b/proxy/src/main/java/walkpost/proxy/BodyRelay.java
@@ -9,30 +9,33 @@
 import java.util.Deque;
 
 /**
- * A body that is passed on as it comes, from the connection that it is read from to the one that it is written to. It
- * owns what has come and not gone yet, and has the one side wait for the other.
+ * Relays a body, as it arrives, from the connection that it is read from to the connection that it is written to. Owns the bytes that have
+ * arrived and are not written yet, and pauses reading while the sink cannot keep up (back-pressure). Used on the event loop only.
  */
 final class BodyRelay {
-    /** Where a body comes from. */
+    /** The side that a body is read from. */
     interface Source {
-        /** The other side has enough for now, or wants more. */
+        /** Pauses reading, because the sink has enough for now, or resumes it. */
         void reading(boolean on);
 
-        /** Nobody wants the rest. */
+        /** Notes that the rest of the body is not needed, because the relay was cancelled. */
         void unwanted();
     }
 
-    /** Where a body goes. It is told of exactly one end, unless it goes first. */
+    /**
+     * The side that a body is written to. Exactly one of {@link #end} and {@link #broken} is called, unless the sink is detached or the
+     * relay is cancelled first.
+     */
     interface Sink {
-        /** The connection that it is written to. */
+        /** Returns the connection that the body is written to. */
         Channel channel();
 
-        /** Returns whether it can take more; when it can again, it calls {@link BodyRelay#flow}. */
+        /** Returns whether more can be written; when that becomes possible again, the sink calls {@link BodyRelay#flow}. */
         default boolean ready() {
             return channel().isWritable();
         }
 
-        /** Takes bytes, which are now its to release. */
+        /** Writes bytes and takes over their release. */
         default void data(ByteBuf data) {
             channel().write(new DefaultHttpContent(data));
         }
@@ -41,35 +44,39 @@
             channel().flush();
         }
 
-        /** The body is whole. */
+        /** Notes that the body is complete. */
         void end(HttpHeaders trailers);
 
-        /** The rest of the body will never come. */
+        /** Notes that the rest of the body will never arrive. */
         void broken();
     }
 
-    /** With so much waiting, the source is not read from. */
-    private static final int ENOUGH = 32 * 1024;
+    /** Reading is paused while more bytes than this wait to be written, and resumes at half of it. */
+    private static final int HIGH_WATER_MARK_BYTES = 32 * 1024;
 
     private final ByteBuf start;
     private final Source source;
     private final Buffers buffers;
-    private final Deque<ByteBuf> waiting = new ArrayDeque<>();
-    private int bytes;
+    private final Deque<ByteBuf> pending = new ArrayDeque<>();
+    private int pendingBytes;
     private Sink sink;
     private HttpHeaders trailers = EmptyHttpHeaders.INSTANCE;
     private boolean reading = true;
-    private boolean startGone;
-    private boolean taken;
-    private boolean whole;
-    private boolean over;
-    private boolean flowing;
+    /** Whether the start was written to the current sink. */
+    private boolean startWritten;
+    /** Whether bytes beyond the start were written, so that the body cannot be relayed to another sink. */
+    private boolean consumed;
+    /** Whether the source has delivered the whole body. */
+    private boolean sourceComplete;
+    private boolean finished;
+    /** Whether {@link #flow} is running, which a sink may call again from within a flush. */
+    private boolean transferring;
 
     /**
-     * Makes one.
+     * Creates a relay without a sink.
      *
-     * @param start what has come so far, which is now the relay's and is counted already. It can be sent to one sink
-     *              after another, as long as nothing beyond it has gone to any
+     * @param start the bytes that have arrived so far; they are already counted in {@code buffers}, and the relay releases them. They can
+     *              be written to one sink after another, until bytes beyond them have been written to one
      */
     BodyRelay(ByteBuf start, Source source, Buffers buffers) {
         this.start = start;
@@ -77,127 +84,130 @@
         this.buffers = buffers;
     }
 
-    // The source's side
+    // Called by the source
 
-    /** Takes the next bytes, which are now the relay's to release. */
+    /** Takes the next bytes of the body and their release. */
     void add(ByteBuf data) {
-        if (over) {
+        if (finished) {
             data.release();
             return;
         }
-        waiting.add(data);
-        bytes += data.readableBytes();
+        pending.add(data);
+        pendingBytes += data.readableBytes();
         buffers.hold(data.readableBytes());
         flow();
     }
 
-    /** All has come; the source hears nothing more. */
-    void end(HttpHeaders last) {
-        if (!over) {
-            trailers = last;
-            read(true);
-            whole = true;
+    /** Notes that the body has arrived completely; the source gets no further calls. */
+    void end(HttpHeaders lastTrailers) {
+        if (!finished) {
+            trailers = lastTrailers;
+            setReading(true);
+            sourceComplete = true;
             flow();
         }
     }
 
-    /** The rest will never come. */
+    /** Ends the relay, because the rest of the body will never arrive. */
     void breakOff() {
-        if (!over) {
-            Sink told = sink;
+        if (!finished) {
+            Sink lastSink = sink;
             finish();
-            if (told != null) {
-                told.broken();
+            if (lastSink != null) {
+                lastSink.broken();
             }
         }
     }
 
-    // The sink's side
+    // Called by the sink
 
-    /** Returns whether a sink would be given all of the body. */
+    /** Returns whether a new sink would receive the whole body. */
     boolean fresh() {
-        return sink == null && !taken && !over;
+        return sink == null && !consumed && !finished;
     }
 
-    /** Begins, or begins anew, to pass on what has come. */
+    /** Relays the body to a sink, from its first byte. */
     void to(Sink next) {
         sink = next;
-        startGone = false;
+        startWritten = false;
         flow();
     }
 
-    /** The sink has gone; another may come if nothing beyond the start is lost with it. */
+    /** Detaches the sink; cancels the relay if bytes beyond the start were written, because no other sink can get the whole body. */
     void detach() {
         sink = null;
-        if (taken) {
+        if (consumed) {
             cancel();
         }
     }
 
-    /** Nobody wants the rest. */
+    /** Ends the relay, because the rest of the body is not needed. */
     void cancel() {
-        if (!over) {
-            boolean more = !whole;
+        if (!finished) {
+            boolean sourceHasMore = !sourceComplete;
             finish();
-            if (more) {
+            if (sourceHasMore) {
                 source.unwanted();
             }
         }
     }
 
-    /** Passes on what the sink can take. */
+    /** Writes as much as the sink can take, and pauses or resumes reading. */
     void flow() {
-        if (over || flowing) {
+        if (finished || transferring) {
             return;
         }
         if (sink != null) {
-            flowing = true;
-            pass();
-            flowing = false;
+            transferring = true;
+            writePending();
+            transferring = false;
         }
-        if (!over && sink != null && whole && startGone && waiting.isEmpty()) {
-            Sink told = sink;
+        if (!finished && sink != null && sourceComplete && startWritten && pending.isEmpty()) {
+            Sink lastSink = sink;
             finish();
-            told.end(trailers);
-        } else if (!over) {
-            int most = buffers.full() ? 0 : ENOUGH;
-            read(bytes <= (reading ? most : most / 2));
+            lastSink.end(trailers);
+        } else if (!finished) {
+            int limitBytes = buffers.full() ? 0 : HIGH_WATER_MARK_BYTES;
+            setReading(pendingBytes <= (reading ? limitBytes : limitBytes / 2));
         }
     }
 
-    /** A flush may make room at once, and says so while this still runs: so it is looked for afterwards. */
-    private void pass() {
-        while (more()) {
-            while (more()) {
-                sink.data(next());
+    /**
+     * Writes until the sink is full. Flushes may make room at once, so the sink is asked again after each; a call of {@link #flow} by the
+     * sink is ignored meanwhile.
+     */
+    private void writePending() {
+        while (canWrite()) {
+            while (canWrite()) {
+                sink.data(nextPiece());
             }
-            if (sink != null && !over) {
+            if (sink != null && !finished) {
                 sink.flush();
             }
         }
     }
 
-    private boolean more() {
-        return sink != null && !over && (!startGone || !waiting.isEmpty()) && sink.ready();
+    private boolean canWrite() {
+        return sink != null && !finished && (!startWritten || !pending.isEmpty()) && sink.ready();
     }
 
-    private ByteBuf next() {
-        if (!startGone) {
-            startGone = true;
+    private ByteBuf nextPiece() {
+        if (!startWritten) {
+            startWritten = true;
             return start.retainedSlice();
         }
-        if (!taken) {
-            taken = true;
+        if (!consumed) {
+            consumed = true;
             releaseStart();
         }
-        ByteBuf data = waiting.remove();
-        bytes -= data.readableBytes();
+        ByteBuf data = pending.remove();
+        pendingBytes -= data.readableBytes();
         buffers.letGo(data.readableBytes());
         return data;
     }
 
-    private void read(boolean on) {
-        if (on != reading && !whole) {
+    private void setReading(boolean on) {
+        if (on != reading && !sourceComplete) {
             reading = on;
             source.reading(on);
         }
@@ -209,15 +219,15 @@
     }
 
     private void finish() {
-        over = true;
+        finished = true;
         sink = null;
-        read(true);
-        if (!taken) {
+        setReading(true);
+        if (!consumed) {
             releaseStart();
         }
-        waiting.forEach(ByteBuf::release);
-        waiting.clear();
-        buffers.letGo(bytes);
-        bytes = 0;
+        pending.forEach(ByteBuf::release);
+        pending.clear();
+        buffers.letGo(pendingBytes);
+        pendingBytes = 0;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Buffers.java
+++ b/proxy/src/main/java/walkpost/proxy/Buffers.java
@@ -1,28 +1,30 @@
 package walkpost.proxy;
 
-/** Counts the bytes of bodies that the process holds, over all connections: its memory is one and limited. */
+/**
+ * Counts the body bytes that all connections of the process buffer, because they share its limited memory. Used on the event loop only.
+ */
 final class Buffers {
-    private final long most;
-    private long held;
+    private final long limitBytes;
+    private long reservedBytes;
 
-    Buffers(long most) {
-        this.most = most;
+    Buffers(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
     void hold(int bytes) {
-        held += bytes;
+        reservedBytes += bytes;
     }
 
     void letGo(int bytes) {
-        held -= bytes;
+        reservedBytes -= bytes;
     }
 
-    /** Returns whether no more is to be gathered that could be passed on. */
+    /** Returns whether the limit is reached, so that bodies are relayed instead of being buffered further. */
     boolean full() {
-        return held >= most;
+        return reservedBytes >= limitBytes;
     }
 
     long held() {
-        return held;
+        return reservedBytes;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/ClientConnection.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientConnection.java
@@ -18,163 +18,193 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** One client's connection. */
+/**
+ * A client's connection: receives its requests, runs one {@link ClientExchange} at a time and queues pipelined requests behind it. Used on
+ * the event loop only.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    private static final long IDLE_S = 60;
-    /** A peer whose request's head is not whole by then is owed an error or a close; the platform allows 3 s. */
-    private static final long HEAD_MS = 2_500;
-    /** A body has to bring so much in each such time: a tenth of what the platform's slowest client sends. */
-    private static final int LEAST_BYTES = 16 * 1024;
-    /** Whoever has sent nothing for so long since it came makes room for others, where there is none. */
+    private static final long IDLE_TIMEOUT_S = 60;
+    /**
+     * A request head must be complete within this time, and a body must bring {@link #MIN_BODY_BYTES_PER_PERIOD} in each such period. A
+     * client that is too slow must get an error or a close; the platform allows 3 s for that.
+     */
+    private static final long RECEIVE_TIMEOUT_MS = 2_500;
+    /** A tenth of what the platform's slowest client sends in {@link #RECEIVE_TIMEOUT_MS}. */
+    private static final int MIN_BODY_BYTES_PER_PERIOD = 16 * 1024;
+    /** A client that has sent nothing for this long after it was accepted may be disconnected if connections run out. */
     private static final long SILENT_MS = 500;
 
-    private final Frontend front;
+    private final Frontend frontend;
     private final Closing closing;
-    private final ReadAhead waiting;
+    private final PipelinedRequests pipelined;
     private final RequestDecoder decoder = new RequestDecoder();
-    /** Whether there was a time when it was not read from: behind what has been read since, the client's end may stand. */
-    private boolean endMayBeUnread;
+    /**
+     * Whether the client's close (FIN or RST) may have arrived some time ago and still be unread, because the connection was not read from
+     * for a while.
+     */
+    private boolean mayHaveUnreadClose;
     private int reads;
     private Channel channel;
-    private Exchange exchange;
-    private Intake intake;
-    /** Whether any request has come whole, or its body is long and has begun. */
-    private boolean taken;
-    private int progress;
-    private long readAt;
-    private FullHttpResponse parting;
-    private Future<?> overdue;
-
-    ClientConnection(Frontend front, Closing closing, boolean waited) {
-        this.front = front;
+    private ClientExchange exchange;
+    private RequestReceiver receiver;
+    /** Whether a request was complete, or a long body started to be relayed, at least once on this connection. */
+    private boolean hadRequest;
+    private int bodyBytesInPeriod;
+    private long lastReadAtUs;
+    /** The last response on this connection; it is sent once the exchanges before it are finished. */
+    private FullHttpResponse finalResponse;
+    private Future<?> receiveTimer;
+
+    /**
+     * Creates the handler of an accepted connection.
+     *
+     * @param mayHaveWaited whether the client may have waited in the listener's accept queue
+     */
+    ClientConnection(Frontend frontend, Closing closing, boolean mayHaveWaited) {
+        this.frontend = frontend;
         this.closing = closing;
-        this.waiting = new ReadAhead(front.buffers);
-        this.endMayBeUnread = waited;
+        this.pipelined = new PipelinedRequests(frontend.buffers);
+        this.mayHaveUnreadClose = mayHaveWaited;
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        front.opened(this);
-        expectHead();
-        channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_S, TimeUnit.SECONDS), decoder,
-                new HttpResponseEncoder(), new Requests());
+        frontend.connectionOpened(this);
+        startHeadTimer();
+        channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_S, TimeUnit.SECONDS), decoder,
+                new HttpResponseEncoder(), new RequestHandler());
     }
 
-    /** A request's time counts from its last byte; the nearest to its sending that can be known is this read. */
+    /**
+     * Records when the bytes may have arrived and passes them to the decoder. A request's deadline counts from the sending of its last
+     * byte; the arrival of that byte is the closest moment that the proxy can know.
+     */
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-        lookBehind();
-        if (parting != null || closing.begun()) {
+        trackUnreadClose();
+        if (finalResponse != null || closing.begun()) {
             ReferenceCountUtil.release(message);
             return;
         }
-        readAt = front.beat().arrivedAt();
-        if (!receiving()) {
-            expectHead();
-            front.sockets.clientIdle(closing, false);
+        lastReadAtUs = frontend.lagMonitor().arrivedAt();
+        if (!isReceivingRequest()) {
+            startHeadTimer();
+            frontend.sockets.clientIdle(closing, false);
         }
         super.channelRead(ctx, message);
         if (closing.begun()) {
-            stopExpecting();
-        } else if (receiving()) {
-            expectHead();
+            cancelReceiveTimer();
+        } else if (isReceivingRequest()) {
+            startHeadTimer();
         } else {
-            if (taken) {
-                stopExpecting();
+            if (hadRequest) {
+                cancelReceiveTimer();
             }
-            rest();
+            markIdleOrClose();
         }
     }
 
-    /** One read takes in only so much: the end has been looked for once a look at the sockets has brought nothing more. */
-    private void lookBehind() {
+    /**
+     * Updates whether the client's close may be unread. One read takes in a limited number of bytes, so the close is known not to be there
+     * only once a poll of the sockets has brought no further read on this connection.
+     */
+    private void trackUnreadClose() {
         reads++;
-        endMayBeUnread |= front.beat().heldUp();
-        if (endMayBeUnread) {
-            int before = reads;
-            front.beat().afterLook(() -> endMayBeUnread &= reads != before);
+        mayHaveUnreadClose |= frontend.lagMonitor().heldUp();
+        if (mayHaveUnreadClose) {
+            int readsBefore = reads;
+            frontend.lagMonitor().afterLook(() -> mayHaveUnreadClose &= reads != readsBefore);
         }
     }
 
-    /** Returns whether bytes of a request have come that is not whole yet. */
-    private boolean receiving() {
-        return intake != null || decoder.midway();
+    /** Returns whether bytes of a request have arrived that is not complete yet. */
+    private boolean isReceivingRequest() {
+        return receiver != null || decoder.isInsideHead();
     }
 
-    /** Where nothing is asked, the connection may be given up; and it ends if every answer is to be the last. */
-    private void rest() {
-        if (exchange != null || parting != null || receiving() || closing.begun()) {
+    /**
+     * Marks the connection as idle if it carries no request, so that it may be closed to make room; closes it at once if each response is
+     * to be the last on its connection.
+     */
+    private void markIdleOrClose() {
+        if (exchange != null || finalResponse != null || isReceivingRequest() || closing.begun()) {
             return;
         }
-        if (front.closing()) {
+        if (frontend.closesAfterResponses()) {
             closing.begin();
-        } else if (taken) {
-            // Not sooner: a new connection's first request may wait unread, and is taken all the same.
-            front.sockets.clientIdle(closing, true);
+        } else if (hadRequest) {
+            // A new connection is not marked idle here: its first request may be waiting unread and is still to be served.
+            frontend.sockets.clientIdle(closing, true);
         }
     }
 
-    /** Not a matter of silence: one byte now and then would keep an unfinished request, and its socket, for ever. */
-    private void expectHead() {
-        if (overdue == null) {
-            overdue = channel.eventLoop().schedule(this::silent, SILENT_MS, TimeUnit.MILLISECONDS);
+    /**
+     * Starts the timer for a request head if it is not running. Further bytes do not restart it, because a client that sends a byte now and
+     * then would otherwise keep an incomplete request and its socket for ever.
+     */
+    private void startHeadTimer() {
+        if (receiveTimer == null) {
+            receiveTimer = channel.eventLoop().schedule(this::silenceElapsed, SILENT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void expectProgress() {
-        stopExpecting();
-        progress = 0;
-        overdue = channel.eventLoop().schedule(this::stalled, HEAD_MS, TimeUnit.MILLISECONDS);
+    private void startBodyTimer() {
+        cancelReceiveTimer();
+        bodyBytesInPeriod = 0;
+        receiveTimer = channel.eventLoop().schedule(this::bodyPeriodElapsed, RECEIVE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void stopExpecting() {
-        if (overdue != null) {
-            overdue.cancel(false);
-            overdue = null;
+    private void cancelReceiveTimer() {
+        if (receiveTimer != null) {
+            receiveTimer.cancel(false);
+            receiveTimer = null;
         }
     }
 
-    private void silent() {
-        if (!taken && !receiving()) {
-            front.sockets.clientIdle(closing, true);
+    private void silenceElapsed() {
+        if (!hadRequest && !isReceivingRequest()) {
+            frontend.sockets.clientIdle(closing, true);
         }
-        overdue = channel.eventLoop().schedule(this::unfinished, HEAD_MS - SILENT_MS, TimeUnit.MILLISECONDS);
+        receiveTimer = channel.eventLoop().schedule(this::headTimedOut, RECEIVE_TIMEOUT_MS - SILENT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void unfinished() {
-        overdue = null;
-        if (receiving()) {
-            part(tooSlow());
+    private void headTimedOut() {
+        receiveTimer = null;
+        if (isReceivingRequest()) {
+            closeWith(requestTimeout());
         } else if (exchange == null) {
             closing.begin();
         }
     }
 
-    /** A body that the proxy itself is not reading, or has not asked for yet, is not late. */
-    private void stalled() {
-        if (progress >= LEAST_BYTES || !channel.config().isAutoRead() || intake.announced()) {
-            expectProgress();
+    /**
+     * Gives up a request whose body arrives too slowly. A body is not late while the proxy itself has paused reading, or while the client
+     * waits for {@code 100 Continue}.
+     */
+    private void bodyPeriodElapsed() {
+        if (bodyBytesInPeriod >= MIN_BODY_BYTES_PER_PERIOD || !channel.config().isAutoRead() || receiver.awaitsContinue()) {
+            startBodyTimer();
         } else {
-            giveUpIntake();
-            part(tooSlow());
+            abandonIncompleteRequest();
+            closeWith(requestTimeout());
         }
     }
 
-    private FullHttpResponse tooSlow() {
-        return Frontend.plain(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
+    private FullHttpResponse requestTimeout() {
+        return Frontend.textResponse(HttpResponseStatus.REQUEST_TIMEOUT, "the request was not received completely in time");
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-        front.closed(this);
-        stopExpecting();
-        giveUpIntake();
-        waiting.giveUp();
+        frontend.connectionClosed(this);
+        cancelReceiveTimer();
+        abandonIncompleteRequest();
+        pipelined.abandonAll();
         if (exchange != null) {
-            Exchange gone = exchange;
+            ClientExchange abandoned = exchange;
             exchange = null;
-            gone.clientGone();
+            abandoned.clientGone();
         }
         super.channelInactive(ctx);
     }
@@ -182,147 +212,159 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) throws Exception {
         if (exchange != null) {
-            exchange.flow();
+            exchange.transferResponse();
         }
         super.channelWritabilityChanged(ctx);
     }
 
-    void received(HttpObject message) {
-        if (parting != null || closing.begun()) {
+    /** Handles one part of a request as the decoder delivers it: a head, a piece of a body, or a decoding failure. */
+    void messageDecoded(HttpObject message) {
+        if (finalResponse != null || closing.begun()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
-            giveUpIntake();
-            part(Frontend.plain(HttpResponseStatus.BAD_REQUEST, "not a request that can be read"));
+            abandonIncompleteRequest();
+            closeWith(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "malformed HTTP request"));
             return;
         }
         if (message instanceof HttpRequest head) {
-            decoder.headEnded();
-            begins(head);
+            decoder.headCompleted();
+            startReceiving(head);
         }
-        if (message instanceof HttpContent content && intake != null) {
-            intake.add(content);
+        if (message instanceof HttpContent content && receiver != null) {
+            receiver.add(content);
         }
     }
 
-    private void begins(HttpRequest head) {
+    private void startReceiving(HttpRequest head) {
         try {
-            Framing.check(head);
-            intake = new Intake(front, this, head);
-            expectProgress();
+            RequestHeadValidator.check(head);
+            receiver = new RequestReceiver(frontend, this, head);
+            startBodyTimer();
             if (exchange == null) {
-                intake.invite();
+                receiver.sendContinue();
             }
-        } catch (Framing.Unacceptable e) {
-            part(Frontend.plain(e.status(), e.getMessage()));
+        } catch (RequestHeadValidator.UnacceptableRequestException e) {
+            closeWith(Frontend.textResponse(e.status(), e.getMessage()));
         }
     }
 
-    /** The request that is coming will not be whole; if it is being passed on already, its client is as good as gone. */
-    private void giveUpIntake() {
-        if (intake == null) {
+    /**
+     * Abandons the request that is being received, because the rest of it will not arrive. If its exchange has started already, that
+     * exchange ends as if the client had gone.
+     */
+    private void abandonIncompleteRequest() {
+        if (receiver == null) {
             return;
         }
-        Intake gone = intake;
-        intake = null;
-        stopExpecting();
-        if (gone.passed() == null) {
-            gone.release();
-        } else if (gone.passed() == exchange) {
+        RequestReceiver abandoned = receiver;
+        receiver = null;
+        cancelReceiveTimer();
+        if (abandoned.startedExchange() == null) {
+            abandoned.release();
+        } else if (abandoned.startedExchange() == exchange) {
             exchange = null;
-            gone.passed().clientGone();
-        } else if (waiting.remove(gone.passed())) {
-            gone.passed().clientGone();
+            abandoned.startedExchange().clientGone();
+        } else if (pipelined.remove(abandoned.startedExchange())) {
+            abandoned.startedExchange().clientGone();
         }
     }
 
-    void whole() {
-        intake = null;
-        stopExpecting();
+    /** Notes that the request that is being received is complete. */
+    void requestCompleted() {
+        receiver = null;
+        cancelReceiveTimer();
     }
 
-    void take(Exchange next) {
-        taken = true;
+    /** Starts an exchange, or queues it behind the current one; if there is no room for it, answers with 429 and closes the connection. */
+    void startOrQueue(ClientExchange next) {
+        hadRequest = true;
         if (exchange == null) {
             exchange = next;
             next.begin();
-        } else if (!waiting.offer(next)) {
-            intake = null;
-            stopExpecting();
+        } else if (!pipelined.offer(next)) {
+            receiver = null;
+            cancelReceiveTimer();
             next.clientGone();
-            part(Frontend.plain(HttpResponseStatus.TOO_MANY_REQUESTS, "too much at once"));
+            closeWith(Frontend.textResponse(HttpResponseStatus.TOO_MANY_REQUESTS, "too many pipelined requests on one connection"));
         }
     }
 
-    /** Whatever else waits, reading goes on: behind it the client's end may stand. */
-    void pauseBody(boolean on) {
+    /**
+     * Pauses or resumes reading for a body that is being relayed. Nothing else pauses reading, however many requests are queued, because
+     * the client's close may be behind the bytes that are still unread.
+     */
+    void setReadPaused(boolean paused) {
         if (!closing.begun()) {
-            channel.config().setAutoRead(!on || parting != null);
+            channel.config().setAutoRead(!paused || finalResponse != null);
         }
     }
 
-    /** The exchange is over; the next that was read ahead begins. */
-    void answered(boolean keepAlive) {
-        exchange = keepAlive ? waiting.poll() : null;
+    /** Ends the current exchange and starts the next queued one, or closes the connection if it is not kept alive. */
+    void exchangeFinished(boolean keepAlive) {
+        exchange = keepAlive ? pipelined.poll() : null;
         if (exchange != null) {
             exchange.begin();
         } else if (!keepAlive) {
-            // Whatever the client has sent beyond its own last request, or beyond what it was told is the last.
-            giveUpIntake();
-            waiting.giveUp();
+            // Drops what the client has sent after the request that it marked as its last, or after the response that announced the close.
+            abandonIncompleteRequest();
+            pipelined.abandonAll();
             closing.begin();
-        } else if (parting != null) {
-            hangUp();
-        } else if (intake != null) {
-            intake.invite();
+        } else if (finalResponse != null) {
+            sendFinalResponse();
+        } else if (receiver != null) {
+            receiver.sendContinue();
         } else {
-            rest();
+            markIdleOrClose();
         }
     }
 
-    /** Answers all that has been taken, as there is no time left. */
-    void answerNow() {
+    /** Fails the current exchange if it has no response yet, because the process is about to end. */
+    void failPendingExchange() {
         if (exchange != null) {
-            exchange.answerNow();
+            exchange.failNow();
         }
     }
 
-    /** Returns whether nothing more is to be answered after the exchange that is under way. */
-    boolean last() {
-        return waiting.isEmpty() && parting == null && !receiving();
+    /** Returns whether no other request is queued, incomplete or to be rejected behind the current exchange. */
+    boolean isLastExchange() {
+        return pipelined.isEmpty() && finalResponse == null && !isReceivingRequest();
     }
 
     void closeIfIdle() {
-        if (exchange == null && parting == null && !receiving()) {
+        if (exchange == null && finalResponse == null && !isReceivingRequest()) {
             closing.begin();
         }
     }
 
-    /** Answers what can't be read as a request, after those that came before it; nothing is read beyond it. */
-    void part(FullHttpResponse answer) {
-        if (parting != null || closing.begun()) {
-            answer.release();
+    /**
+     * Sends a last response, once the exchanges before it are finished, and closes the connection; input that follows is not read as
+     * requests. Used where the input is not a valid request.
+     */
+    void closeWith(FullHttpResponse response) {
+        if (finalResponse != null || closing.begun()) {
+            response.release();
             return;
         }
-        parting = answer;
+        finalResponse = response;
         channel.config().setAutoRead(true);
         if (exchange == null) {
-            hangUp();
+            sendFinalResponse();
         }
     }
 
-    /** The exchange is answered before its request has come whole: what comes on is nobody's. */
-    void partEarly(FullHttpResponse answer) {
+    /** Ends the current exchange with a response before its request is complete; the rest of that request belongs to no exchange. */
+    void closeWithEarlyResponse(FullHttpResponse response) {
         exchange = null;
-        intake = null;
-        stopExpecting();
-        waiting.giveUp();
-        part(answer);
+        receiver = null;
+        cancelReceiveTimer();
+        pipelined.abandonAll();
+        closeWith(response);
     }
 
-    private void hangUp() {
-        HttpUtil.setKeepAlive(parting, false);
-        channel.write(parting);
+    private void sendFinalResponse() {
+        HttpUtil.setKeepAlive(finalResponse, false);
+        channel.write(finalResponse);
         closing.begin();
     }
 
@@ -330,41 +372,41 @@
         return channel;
     }
 
-    /** When the bytes that came last may have come, on the proxy's clock. */
-    long readAt() {
-        return readAt;
+    /** Returns when the bytes of the latest read may have arrived, in microseconds on the proxy's clock. */
+    long lastReadAtUs() {
+        return lastReadAtUs;
     }
 
-    /** Returns whether it is this exchange's answer that is to come next. */
-    boolean answers(Exchange asked) {
-        return exchange == asked;
+    /** Returns whether an exchange is the current one, whose response is the next on this connection. */
+    boolean isCurrent(ClientExchange candidate) {
+        return exchange == candidate;
     }
 
-    /** Returns whether the client's end may have come some time ago and still lie unread. */
-    boolean endMayBeUnread() {
-        return endMayBeUnread;
+    /** Returns whether the client's close may have arrived some time ago and still be unread. */
+    boolean mayHaveUnreadClose() {
+        return mayHaveUnreadClose;
     }
 
-    /** Returns whether the request that is coming is this one. */
-    boolean takesIn(Intake asked) {
-        return intake == asked;
+    /** Returns whether a receiver is the one that takes this connection's input now. */
+    boolean isReceiving(RequestReceiver candidate) {
+        return receiver == candidate;
     }
 
-    void progressed(int bytes) {
-        progress += bytes;
+    void bodyBytesReceived(int bytes) {
+        bodyBytesInPeriod += bytes;
     }
 
-    /** What the decoder makes of the bytes, and what goes wrong. */
-    private final class Requests extends SimpleChannelInboundHandler<HttpObject> {
+    /** The last inbound handler: passes decoded messages on, and closes the connection when it is idle or fails. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-            received(message);
+            messageDecoded(message);
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-            // One whose client has taken nothing of its answer for so long has no client.
-            if (event instanceof IdleStateEvent && (exchange != null ? exchange.answering() : closing.begun())) {
+            // A client that has read nothing of its response for the idle timeout counts as gone.
+            if (event instanceof IdleStateEvent && (exchange != null ? exchange.isStreamingResponse() : closing.begun())) {
                 ctx.close();
             } else if (event instanceof IdleStateEvent && exchange == null) {
                 closing.begin();
@@ -375,7 +417,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                front.log.failure("connection_failed", cause);
+                frontend.log.failure("connection_failed", cause);
             }
             ctx.close();
         }
--- /dev/null
+++ b/proxy/src/main/java/walkpost/proxy/ClientExchange.java
@@ -0,0 +1,348 @@
+package walkpost.proxy;
+
+import walkpost.Balancer;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelOption;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.QueryStringDecoder;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/** One request of a client and its one response. Used on the event loop only. */
+final class ClientExchange implements Proxy.Reply, BodyRelay.Sink {
+    private static final Pattern TIMEOUT = Pattern.compile("(\\d{1,8})([mu])");
+    private static final Pattern COST = Pattern.compile("\\d{1,9}");
+    /** The memory that a queued request takes besides its URI, headers and body. */
+    private static final int BASE_SIZE_BYTES = 2 * 1024;
+    /** Subtracted from the client's timeout: a response takes a moment to arrive, and the proxy may be late by a few milliseconds. */
+    private static final long RESPONSE_MARGIN_US = 8_000;
+
+    /** Thrown for a request that is not forwarded to a server; carries the status of the response. */
+    private static final class RejectedRequestException extends Exception {
+        private static final long serialVersionUID = 1L;
+        private final transient HttpResponseStatus status;
+
+        RejectedRequestException(HttpResponseStatus status, String message) {
+            super(message, null, false, false);
+            this.status = status;
+        }
+    }
+
+    private final Frontend frontend;
+    private final ClientConnection connection;
+    private final HttpRequest head;
+    private final Frontend.AdmissionRules rulesAtArrival;
+    private final ByteBuf body;
+    /** Relays a request body that is too long to be collected; null if {@link #body} is the whole body. */
+    private final BodyRelay requestRelay;
+    private boolean requestComplete;
+    private long arrivedAtUs;
+    private long timeoutUs;
+    private String id;
+    /** Relays a long response body; set from the start of that response to its end. */
+    private BodyRelay responseRelay;
+    /** Whether the connection stays open after the response. */
+    private boolean keepAlive;
+    private boolean released;
+
+    /**
+     * Creates the exchange of a request; {@link #begin} starts it.
+     *
+     * @param rulesAtArrival the admission rules that were in force when the request's head arrived
+     * @param body the whole body, which the exchange releases; unused if there is a relay
+     * @param requestRelay the relay of a body that is still arriving, or null
+     */
+    ClientExchange(Frontend frontend, ClientConnection connection, HttpRequest head, Frontend.AdmissionRules rulesAtArrival, ByteBuf body,
+            BodyRelay requestRelay) {
+        this.frontend = frontend;
+        this.connection = connection;
+        this.head = head;
+        this.rulesAtArrival = rulesAtArrival;
+        this.body = body;
+        this.requestRelay = requestRelay;
+        this.requestComplete = requestRelay == null;
+        this.arrivedAtUs = connection.lastReadAtUs();
+    }
+
+    /** Hands the request to the proxy, or responds at once if it is a readiness check or is rejected. */
+    void begin() {
+        Proxy.Incoming incoming;
+        try {
+            String target = RequestHeadValidator.originForm(head.uri());
+            var uri = new QueryStringDecoder(target);
+            if (uri.rawPath().equals("/ready")) {
+                respond(frontend.ready() ? Frontend.textResponse(HttpResponseStatus.OK, "ready")
+                        : Frontend.textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready"));
+                return;
+            }
+            incoming = incoming(target, uri);
+        } catch (RejectedRequestException e) {
+            respond(Frontend.textResponse(e.status, e.getMessage()));
+            return;
+        } catch (IllegalArgumentException e) {
+            respond(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "malformed request target"));
+            return;
+        }
+        id = incoming.id();
+        frontend.proxy.arrived(incoming, this);
+    }
+
+    /** Relays the next piece of a long request body; the relay releases it. */
+    void relayRequestBody(ByteBuf bytes) {
+        requestRelay.add(bytes);
+    }
+
+    /** Notes that a long request body is complete; the request's deadline counts from here on. */
+    void requestCompleted(HttpHeaders trailers) {
+        requestComplete = true;
+        arrivedAtUs = connection.lastReadAtUs();
+        requestRelay.end(trailers);
+        if (id != null) {
+            frontend.proxy.whole(id, deadlineUs());
+        }
+    }
+
+    private long deadlineUs() {
+        return Math.min(frontend.latestDeadlineUs(), arrivedAtUs + timeoutUs - Math.min(RESPONSE_MARGIN_US, timeoutUs / 10));
+    }
+
+    /** Validates the request against the admission rules and returns it in the form that the proxy takes. */
+    private Proxy.Incoming incoming(String target, QueryStringDecoder uri) throws RejectedRequestException {
+        if (!uri.rawPath().equals("/api") && !uri.rawPath().startsWith("/api/")) {
+            throw new RejectedRequestException(HttpResponseStatus.NOT_FOUND,
+                    "unknown path; expected /ready, /api or a path under /api/");
+        }
+        HttpHeaders headers = head.headers();
+        String requestClass = header(headers, Headers.REQUEST_CLASS);
+        // The current rules apply, unless the class was removed from them after the request's head arrived: then the earlier rules do.
+        Frontend.AdmissionRules rules = frontend.admissionRules().effects().containsKey(requestClass) ? frontend.admissionRules()
+                : rulesAtArrival;
+        Balancer.Effect effect = rules.effects().get(requestClass);
+        if (effect == null) {
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST,
+                    Headers.REQUEST_CLASS + " names no request class of this proxy's configuration");
+        }
+        HttpMethod expectedMethod = effect == Balancer.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        if (!head.method().equals(expectedMethod)) {
+            throw new RejectedRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED,
+                    "requests of the class given in " + Headers.REQUEST_CLASS + " must use " + expectedMethod);
+        }
+        if (effect == Balancer.Effect.KEYED) {
+            header(headers, Headers.IDEMPOTENCY_KEY);
+        }
+        String tenant = null;
+        if (!rules.tenants().isEmpty()) {
+            tenant = header(headers, Headers.TENANT);
+            if (!rules.tenants().contains(tenant)) {
+                throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST,
+                        Headers.TENANT + " names no tenant of this proxy's configuration");
+            }
+        }
+        String requestId = header(headers, Headers.REQUEST_ID);
+        if (frontend.proxy.knows(requestId)) {
+            throw new RejectedRequestException(HttpResponseStatus.CONFLICT,
+                    "another request with the same " + Headers.REQUEST_ID + " is in progress");
+        }
+        List<String> keys = uri.parameters().get("k");
+        timeoutUs = timeoutUs(header(headers, Headers.TIMEOUT));
+        return new Proxy.Incoming(requestId, requestClass, tenant, keys == null ? null : keys.get(0),
+                "1".equals(headers.get(Headers.RETRIED)), costUs(headers.get(Headers.COST)), deadlineUs(), requestComplete, rules.limits(),
+                new Backends.Outgoing(head.method(), target, headers, body, requestRelay));
+    }
+
+    private static String header(HttpHeaders headers, String name) throws RejectedRequestException {
+        String value = headers.get(name);
+        if (value == null || value.isEmpty()) {
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST, "header " + name + " is missing or empty");
+        }
+        return value;
+    }
+
+    /** Returns the client's estimate of the request's cost in microseconds; 0 if it is absent or malformed, because it is optional. */
+    private static long costUs(String text) {
+        return text != null && COST.matcher(text).matches() ? Long.parseLong(text) : 0;
+    }
+
+    private static long timeoutUs(String text) throws RejectedRequestException {
+        Matcher matcher = TIMEOUT.matcher(text);
+        if (!matcher.matches() || Long.parseLong(matcher.group(1)) == 0) {
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST,
+                    Headers.TIMEOUT + " must be a positive number of at most 8 digits with the unit m (ms) or u (us)");
+        }
+        return Long.parseLong(matcher.group(1)) * (matcher.group(2).equals("m") ? 1_000 : 1);
+    }
+
+    @Override
+    public void served(Backends.Answer served) {
+        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, served.body());
+        Headers.copyEndToEnd(served.headers(), response.headers());
+        HttpUtil.setContentLength(response, served.body().readableBytes());
+        respond(response);
+    }
+
+    @Override
+    public void refused(long retryAfterUs) {
+        FullHttpResponse response = Frontend.textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE,
+                "refused for now; the request was not processed and may be retried");
+        if (retryAfterUs > 0) {
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6));
+        }
+        respond(response);
+    }
+
+    @Override
+    public void failed() {
+        respond(Frontend.textResponse(HttpResponseStatus.BAD_GATEWAY, "the request failed; it may have taken effect"));
+    }
+
+    private void respond(FullHttpResponse response) {
+        if (!connection.isCurrent(this)) {
+            response.release();
+            return;
+        }
+        release();
+        if (!requestComplete) {
+            connection.closeWithEarlyResponse(response);
+            return;
+        }
+        keepAlive = keepsConnectionAlive();
+        HttpUtil.setKeepAlive(response, keepAlive);
+        if (head.method().equals(HttpMethod.HEAD)) {
+            response.content().clear();
+        }
+        connection.channel().writeAndFlush(response);
+        connection.exchangeFinished(keepAlive);
+    }
+
+    private boolean keepsConnectionAlive() {
+        return HttpUtil.isKeepAlive(head) && !(frontend.closesAfterResponses() && connection.isLastExchange());
+    }
+
+    @Override
+    public void streams(Backends.Stream stream) {
+        if (!connection.isCurrent(this) || !requestComplete) {
+            // A response cannot be relayed while its request is still being received.
+            stream.body().cancel();
+            failed();
+            return;
+        }
+        release();
+        keepAlive = keepsConnectionAlive();
+        var response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        Headers.copyEndToEnd(stream.headers(), response.headers());
+        if (stream.length() >= 0) {
+            HttpUtil.setContentLength(response, stream.length());
+        } else if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
+            keepAlive = false;
+        } else {
+            HttpUtil.setTransferEncodingChunked(response, true);
+        }
+        HttpUtil.setKeepAlive(response, keepAlive);
+        connection.channel().write(response);
+        responseRelay = stream.body();
+        responseRelay.to(this);
+    }
+
+    /** Returns whether a long response is being relayed to the client. */
+    boolean isStreamingResponse() {
+        return responseRelay != null;
+    }
+
+    /** Relays more of a long response if there is one; called when the client's connection can be written to again. */
+    void transferResponse() {
+        if (responseRelay != null) {
+            responseRelay.flow();
+        }
+    }
+
+    @Override
+    public Channel channel() {
+        return connection.channel();
+    }
+
+    @Override
+    public void end(HttpHeaders trailers) {
+        responseRelay = null;
+        connection.channel().writeAndFlush(Headers.last(trailers));
+        connection.exchangeFinished(keepAlive);
+    }
+
+    /**
+     * Resets the client's connection. An HTTP/1.0 client would take a response of unknown length for complete if its connection just
+     * closed.
+     */
+    @Override
+    public void broken() {
+        responseRelay = null;
+        try {
+            connection.channel().config().setOption(ChannelOption.SO_LINGER, 0);
+        } finally {
+            connection.channel().close();
+        }
+    }
+
+    private void release() {
+        if (released) {
+            return;
+        }
+        released = true;
+        if (requestRelay == null) {
+            frontend.buffers.letGo(body.readableBytes());
+            body.release();
+        } else {
+            requestRelay.breakOff();
+        }
+    }
+
+    @Override
+    public boolean clientThere() {
+        return connection.isCurrent(this) && connection.channel().isActive();
+    }
+
+    @Override
+    public boolean endMayBeUnread() {
+        return connection.mayHaveUnreadClose();
+    }
+
+    /** Fails the exchange, because the process is about to end; does nothing if the request is incomplete or its response has started. */
+    void failNow() {
+        if (requestComplete && responseRelay == null) {
+            failed();
+            if (id != null) {
+                frontend.proxy.clientGone(id);
+            }
+        }
+    }
+
+    /** Returns the bytes that the request counts for while it is queued behind another one. */
+    int queuedSizeBytes() {
+        int bytes = BASE_SIZE_BYTES + head.uri().length() + body.readableBytes();
+        for (Map.Entry<String, String> header : head.headers()) {
+            bytes += header.getKey().length() + header.getValue().length();
+        }
+        return bytes;
+    }
+
+    /** Abandons the exchange, because its client has gone or will send no more of the request. */
+    void clientGone() {
+        if (responseRelay != null) {
+            responseRelay.cancel();
+        } else if (id != null) {
+            frontend.proxy.clientGone(id);
+        }
+        release();
+    }
+}
--- a/proxy/src/main/java/walkpost/proxy/ClientsSocket.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientsSocket.java
@@ -3,14 +3,15 @@
 import java.util.ArrayList;
 
 /**
- * The listening socket of one proxy alone. Whoever has connected is the proxy's to answer, also before it is accepted,
- * and the system resets all that wait in a queue that is closed: so the queue is emptied first.
+ * A listening socket that belongs to this proxy alone and accepts the queued connections before it closes. The proxy owes an answer to each
+ * client that has connected, even if it is not accepted yet, but the system resets the connections that wait in the accept queue of a
+ * socket that is closed. Used on its event loop only.
  */
 class ClientsSocket extends RetryingServerSocketChannel {
-    /** So many descriptors may be used beyond the count, which leaves some to spare. */
-    private static final int MOST = 48;
-    /** An accept that fails while the queue is emptied is made again at once, as there is no later; so often at most. */
-    private static final int MOST_FAILURES = 16;
+    /** Connections accepted beyond the counted limit of descriptors; this leaves some of the spare descriptors unused. */
+    private static final int MAX_QUEUED_CONNECTIONS = 48;
+    /** A failed accept is retried at once during the close, because the socket cannot be asked again later. */
+    private static final int MAX_ACCEPT_FAILURES = 16;
 
     ClientsSocket(SystemCallFailures failures) {
         super(failures);
@@ -19,19 +20,20 @@
     @Override
     protected void doClose() throws Exception {
         if (isActive() && !eventLoop().isShuttingDown()) {
-            var failed = new int[1];
-            onAcceptFailure(() -> failed[0]++);
-            var waiting = new ArrayList<Object>();
-            while (waiting.size() < MOST && acceptsOneMore(waiting, failed)) {
-                // The next, if there is one: accepting does not block.
+            var failureCount = new int[1];
+            onAcceptFailure(() -> failureCount[0]++);
+            var accepted = new ArrayList<Object>();
+            while (accepted.size() < MAX_QUEUED_CONNECTIONS && acceptNext(accepted, failureCount)) {
+                // The condition accepts the next connection; this does not block.
             }
-            waiting.forEach(pipeline()::fireChannelRead);
+            accepted.forEach(pipeline()::fireChannelRead);
         }
         super.doClose();
     }
 
-    private boolean acceptsOneMore(ArrayList<Object> waiting, int[] failed) {
-        int failedBefore = failed[0];
-        return doReadMessages(waiting) > 0 || failed[0] > failedBefore && failed[0] < MOST_FAILURES;
+    /** Accepts one connection if one is queued; returns whether to try again, after a connection or a failure. */
+    private boolean acceptNext(ArrayList<Object> accepted, int[] failureCount) {
+        int failuresBefore = failureCount[0];
+        return doReadMessages(accepted) > 0 || failureCount[0] > failuresBefore && failureCount[0] < MAX_ACCEPT_FAILURES;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Closing.java
+++ b/proxy/src/main/java/walkpost/proxy/Closing.java
@@ -7,20 +7,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The end of a client's connection. To close one over bytes that nobody has read resets it, and an answer that is still
- * on its way is lost with it. So this side ends its sending behind all that was written, and whatever comes from then
- * on is read and dropped, until the client ends its side as well or has had its time.
+ * Closes a client's connection gracefully. Closing a socket with unread input makes the system send a reset, which destroys a response that
+ * is still on its way. So this shuts down the output after all pending writes, and then reads and drops the client's input until the client
+ * closes its side or {@link #LINGER_MS} have passed. Used on the event loop only.
  */
 final class Closing {
-    /** How long a client may take to end its side: a few round trips of any network. */
+    /** The client's time to close its side: a few round trips of any network. */
     private static final long LINGER_MS = 1_000;
 
     private enum State {
         /** Requests are read and answered. */
         OPEN,
-        /** What was written last is on its way out; no request is taken any more. */
+        /** The pending writes are being flushed; no further request is accepted. */
         WRITING,
-        /** This side has ended, and the client's is waited for. */
+        /** The output is shut down, and the client's close is awaited. */
         LINGERING
     }
 
@@ -37,12 +37,12 @@
         return channel;
     }
 
-    /** Returns whether no more requests are to be taken: what is read is to be dropped. */
+    /** Returns whether the close has started, so that no further requests are accepted and input is dropped. */
     boolean begun() {
         return state != State.OPEN;
     }
 
-    /** Ends the connection, once all that was written has gone out. */
+    /** Starts the close: flushes the pending writes and then shuts down the output. */
     void begin() {
         if (state != State.OPEN) {
             return;
@@ -50,7 +50,7 @@
         state = State.WRITING;
         sockets.clientIdle(this, false);
         ChannelFuture written = channel.writeAndFlush(Unpooled.EMPTY_BUFFER);
-        // Whoever does not take its answer is not read from either: it would never count as silent.
+        // Reading pauses until the writes are flushed, because a client that sends but does not read would otherwise never count as idle.
         channel.config().setAutoRead(written.isDone());
         written.addListener(done -> linger());
     }
@@ -65,11 +65,11 @@
         if (channel instanceof DuplexChannel duplex) {
             duplex.shutdownOutput();
         }
-        var end = channel.eventLoop().schedule(this::cut, LINGER_MS, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(closed -> end.cancel(false));
+        var lingerTimer = channel.eventLoop().schedule(this::cut, LINGER_MS, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(closed -> lingerTimer.cancel(false));
     }
 
-    /** Waits for the client no longer. */
+    /** Closes the connection without waiting for the client any longer. */
     void cut() {
         channel.close();
     }
--- a/proxy/src/main/java/walkpost/proxy/Exclusions.java
+++ b/proxy/src/main/java/walkpost/proxy/Exclusions.java
@@ -18,182 +18,193 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The backends that one party has taken out: the operators at this proxy's door, or the fleet. Each stands as an empty file in a folder,
- * which outlives the process: at an upgrade two processes serve as one, and what either is told binds both. A file is there or not, so
- * neither needs a lock, nor the word of the other. All of it runs on the one event loop.
+ * The servers that one source excludes: the operator endpoint of this proxy, or the fleet. Each exclusion is an empty file in a directory
+ * that outlives the process. During an upgrade two processes serve as one proxy, and an exclusion that either of them receives applies to
+ * both; a file exists or not, so they need neither locks nor messages between them. Used on the event loop only.
  */
 final class Exclusions {
-    /** A file name holds 255 bytes, and an id takes four for three of its own. */
+    /** In bytes of UTF-8. A file name has at most 255 bytes, and Base64 takes four of them for three bytes of an id. */
     static final int LONGEST_ID = 180;
-    /** The platform allows 300 ms from a call until nothing new is sent. */
-    private static final long LOOK_MS = 100;
+    /** How often the directory is read. The platform allows 300 ms from a call until no new requests are sent to the server. */
+    private static final long SCAN_INTERVAL_MS = 100;
 
-    /** A call that could not be carried out; nothing has changed. */
-    static final class Refused extends Exception {
+    /** Thrown if an exclusion could not be added or removed; nothing has changed then. */
+    static final class ExclusionRejectedException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Refused(String why) {
-            super(why, null, false, false);
+        ExclusionRejectedException(String message) {
+            super(message, null, false, false);
         }
     }
 
     private final EventLoop loop;
     private final Log log = new Log("operators");
-    private final TakenOut all;
-    private final Path folder;
-    private final String by;
+    private final TakenOut allSources;
+    private final Path directory;
+    private final String source;
     private final Set<String> excluded = new HashSet<>();
-    /** What the folder should say and does not, as it could not be written: whether a backend is out, by its id. */
-    private final Map<String, Boolean> unkept = new HashMap<>();
-    private boolean readable = true;
-
-    /** Creates a party's exclusions, none at first; {@code by} is who it is, for the log. */
-    Exclusions(EventLoop loop, TakenOut all, Path folder, String by) {
+    /** Changes that could not be written to the directory yet: whether a server is excluded, by its id. */
+    private final Map<String, Boolean> unwritten = new HashMap<>();
+    private boolean directoryReadable = true;
+
+    /**
+     * Creates the exclusions of one source, none at first.
+     *
+     * @param allSources combines the exclusions of all sources
+     * @param source names the source in the log
+     */
+    Exclusions(EventLoop loop, TakenOut allSources, Path directory, String source) {
         this.loop = loop;
-        this.all = all;
-        this.folder = folder;
-        this.by = by;
+        this.allSources = allSources;
+        this.directory = directory;
+        this.source = source;
     }
 
-    /** Takes over what stands already, and keeps looking for what the other process is told. */
+    /** Loads the existing exclusions, and keeps reading the directory for changes by another process. */
     void start() {
-        look();
-        loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        scan();
+        loop.scheduleWithFixedDelay(this::scan, SCAN_INTERVAL_MS, SCAN_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes a backend out; on return the exclusion stands and is obeyed. */
-    void exclude(String id) throws Refused {
-        known(id);
+    /** Excludes a server; on return the exclusion is stored and in force. */
+    void exclude(String id) throws ExclusionRejectedException {
+        requireKnown(id);
         try {
             write(id, true);
         } catch (IOException e) {
-            throw new Refused("cannot be kept: " + e);
+            throw new ExclusionRejectedException("the exclusion of '" + id + "' could not be stored: " + e);
         }
-        took(id);
+        markExcluded(id);
     }
 
-    /** Gives a backend back, however often it was taken out; returns whether it is in use again, as no other party has it out. */
-    boolean include(String id) throws Refused {
-        known(id);
+    /**
+     * Removes the exclusion of a server, however often it was excluded.
+     *
+     * @return whether the server is in use again; it is not if another source excludes it
+     */
+    boolean include(String id) throws ExclusionRejectedException {
+        requireKnown(id);
         try {
             write(id, false);
         } catch (IOException e) {
-            throw new Refused("cannot be undone: " + e);
+            throw new ExclusionRejectedException("the exclusion of '" + id + "' could not be removed: " + e);
         }
-        return gave(id);
+        return markIncluded(id);
     }
 
-    /** Does as was decided elsewhere, whether or not the backend is known here and it can be kept. */
-    void obey(String id, boolean out) {
+    /** Applies a decision made elsewhere, even if the server is not known here or the change cannot be stored. */
+    void obey(String id, boolean exclude) {
         try {
-            write(id, out);
-            unkept.remove(id);
+            write(id, exclude);
+            unwritten.remove(id);
         } catch (IOException e) {
-            if (unkept.put(id, out) == null) {
-                log.warn("exclusion_not_kept", "server", id, "by", by, "reason", e);
+            if (unwritten.put(id, exclude) == null) {
+                log.warn("exclusion_not_kept", "server", id, "by", source, "reason", e);
             }
         }
-        if (out) {
-            took(id);
+        if (exclude) {
+            markExcluded(id);
         } else {
-            gave(id);
+            markIncluded(id);
         }
     }
 
-    /** Returns the ids of what this party has out. */
+    /** Returns the ids of the servers that this source excludes. */
     Set<String> standing() {
         return Set.copyOf(excluded);
     }
 
-    private void known(String id) throws Refused {
-        // What the other process has been told since the last look is known as well.
-        look();
-        if (id.getBytes(StandardCharsets.UTF_8).length > LONGEST_ID || !all.knows(id)) {
-            throw new Refused("no such tile server");
+    private void requireKnown(String id) throws ExclusionRejectedException {
+        // A server may be known only by an exclusion that another process has stored since the last scan.
+        scan();
+        if (id.getBytes(StandardCharsets.UTF_8).length > LONGEST_ID || !allSources.isKnown(id)) {
+            throw new ExclusionRejectedException("no such tile server: discovery does not list '" + id + "' and it is not excluded");
         }
     }
 
-    private void write(String id, boolean out) throws IOException {
-        Path file = folder.resolve(name(id));
-        if (!out) {
+    private void write(String id, boolean exclude) throws IOException {
+        Path file = directory.resolve(fileName(id));
+        if (!exclude) {
             Files.deleteIfExists(file);
             return;
         }
-        Files.createDirectories(folder);
+        Files.createDirectories(directory);
         try {
             Files.createFile(file);
         } catch (FileAlreadyExistsException e) {
-            // It stands already.
+            // The server is excluded already.
         }
     }
 
-    private boolean written(String id, boolean out) {
+    /** Writes a change; returns whether that has succeeded. */
+    private boolean tryWrite(String id, boolean exclude) {
         try {
-            write(id, out);
+            write(id, exclude);
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private void took(String id) {
+    private void markExcluded(String id) {
         if (excluded.add(id)) {
-            log.info("server_taken_out", "server", id, "by", by);
-            all.take(id, this);
+            log.info("server_taken_out", "server", id, "by", source);
+            allSources.exclude(id, this);
         }
     }
 
-    private boolean gave(String id) {
+    private boolean markIncluded(String id) {
         if (excluded.remove(id)) {
-            log.info("server_given_back", "server", id, "by", by);
+            log.info("server_given_back", "server", id, "by", source);
         }
-        return all.give(id, this);
+        return allSources.include(id, this);
     }
 
-    private void look() {
-        unkept.entrySet().removeIf(e -> written(e.getKey(), e.getValue()));
-        Set<String> standing = onFile();
-        if (standing != null) {
-            unkept.forEach((id, out) -> {
-                if (out) {
-                    standing.add(id);
+    /** Retries the unwritten changes, and applies the changes that the directory shows. */
+    private void scan() {
+        unwritten.entrySet().removeIf(e -> tryWrite(e.getKey(), e.getValue()));
+        Set<String> stored = readDirectory();
+        if (stored != null) {
+            unwritten.forEach((id, exclude) -> {
+                if (exclude) {
+                    stored.add(id);
                 } else {
-                    standing.remove(id);
+                    stored.remove(id);
                 }
             });
-            standing.forEach(this::took);
-            List.copyOf(excluded).stream().filter(id -> !standing.contains(id)).forEach(this::gave);
+            stored.forEach(this::markExcluded);
+            List.copyOf(excluded).stream().filter(id -> !stored.contains(id)).forEach(this::markIncluded);
         }
     }
 
-    /** Returns the ids that stand in the folder; null where it can't be read, and what was told last holds on. */
-    private Set<String> onFile() {
+    /** Returns the ids that the directory holds, or null if it cannot be read; the exclusions stay as they are then. */
+    private Set<String> readDirectory() {
         var ids = new HashSet<String>();
-        try (var files = Files.newDirectoryStream(folder)) {
+        try (var files = Files.newDirectoryStream(directory)) {
             for (Path file : files) {
-                id(file.getFileName().toString()).ifPresent(ids::add);
+                decodeId(file.getFileName().toString()).ifPresent(ids::add);
             }
         } catch (NoSuchFileException e) {
-            // Nothing was ever taken out here. Any other failure says nothing of what stands.
+            // There are no exclusions yet. Any other failure does not tell which exclusions are stored.
         } catch (IOException | DirectoryIteratorException e) {
-            if (readable) {
-                log.warn("exclusions_unreadable", "holding", "those told before", "reason", e);
+            if (directoryReadable) {
+                log.warn("exclusions_unreadable", "holding", "the exclusions read before", "reason", e);
             }
-            readable = false;
+            directoryReadable = false;
             return null;
         }
-        readable = true;
+        directoryReadable = true;
         return ids;
     }
 
-    private static String name(String id) {
+    private static String fileName(String id) {
         return Base64.getUrlEncoder().withoutPadding().encodeToString(id.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Whatever else lies there says nothing, and must not hide what does. */
-    private static Optional<String> id(String name) {
+    /** Returns the id of an exclusion's file, or nothing for any other file, which must not prevent the exclusions from being read. */
+    private static Optional<String> decodeId(String fileName) {
         try {
-            return Optional.of(new String(Base64.getUrlDecoder().decode(name), StandardCharsets.UTF_8));
+            return Optional.of(new String(Base64.getUrlDecoder().decode(fileName), StandardCharsets.UTF_8));
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
--- a/proxy/src/main/java/walkpost/proxy/Frontend.java
+++ b/proxy/src/main/java/walkpost/proxy/Frontend.java
@@ -28,57 +28,67 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 
-/** The clients' side: takes requests in, turns bad ones away, and gives each good one exactly one answer. */
+/**
+ * The client side of the proxy: listens, accepts connections, holds the rules for accepting requests and the state of the shutdown. Used on
+ * the event loop only.
+ */
 final class Frontend {
-    private static final int BACKLOG = 1_024;
+    private static final int ACCEPT_QUEUE_LENGTH = 1_024;
 
     final Log log = new Log("frontend");
     final Proxy proxy;
     final Sockets sockets;
     final Buffers buffers;
-    private final BooleanSupplier ready;
-    private Terms terms;
+    private final BooleanSupplier upstreamReady;
+    private AdmissionRules admissionRules;
     private final Set<ClientConnection> connections = new HashSet<>();
-    private Backlog listener;
+    /** Null until the frontend listens. */
+    private AcceptQueueMonitor listener;
     private boolean draining;
-    private boolean ended;
-    private boolean closing;
-    private long latestDeadline = Long.MAX_VALUE;
+    private boolean stopped;
+    private boolean closesAfterResponses;
+    private long latestDeadlineUs = Long.MAX_VALUE;
 
-    Frontend(Proxy proxy, Sockets sockets, Buffers buffers, Balancer.Settings settings, BooleanSupplier ready) {
+    /**
+     * Creates a frontend that does not listen yet.
+     *
+     * @param upstreamReady whether the proxy has servers to send requests to
+     */
+    Frontend(Proxy proxy, Sockets sockets, Buffers buffers, Balancer.Settings settings, BooleanSupplier upstreamReady) {
         this.proxy = proxy;
         this.sockets = sockets;
         this.buffers = buffers;
-        this.ready = ready;
-        this.terms = Terms.of(settings);
+        this.upstreamReady = upstreamReady;
+        this.admissionRules = AdmissionRules.of(settings);
     }
 
-    /** Which requests are taken in, and the limits that each keeps. */
-    record Terms(Map<String, Balancer.Effect> effects, Set<String> tenants, Balancer.Limits limits) {
-        static Terms of(Balancer.Settings settings) {
-            return new Terms(settings.classes().stream().collect(
+    /** The request classes (with their effects) and tenants whose requests are accepted, and the limits for each request. */
+    record AdmissionRules(Map<String, Balancer.Effect> effects, Set<String> tenants, Balancer.Limits limits) {
+        static AdmissionRules of(Balancer.Settings settings) {
+            return new AdmissionRules(settings.classes().stream().collect(
                             Collectors.toUnmodifiableMap(Balancer.RequestClass::name, Balancer.RequestClass::effect)),
                     settings.tenants().stream().map(Balancer.Tenant::name).collect(Collectors.toUnmodifiableSet()),
                     settings.limits());
         }
     }
 
-    /** The settings are others from now on, for whoever begins to ask. */
+    /** Applies new settings to the requests whose heads arrive from now on. */
     void tune(Balancer.Settings settings) {
-        terms = Terms.of(settings);
+        admissionRules = AdmissionRules.of(settings);
     }
 
+    /** Listens on a socket of this proxy's own; returns the future of its channel. */
     ChannelFuture listen(EventLoop loop, ChannelFactory<ServerChannel> transport, SocketAddress address) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channelFactory(transport)
-                // One at a time: each that is accepted counts before the next is.
+                // Accepts one connection per read, so that each is counted before the next is accepted.
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator())
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .childHandler(new Admission()).bind(address);
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_QUEUE_LENGTH)
+                .childHandler(new ClientInitializer()).bind(address);
         bound.addListener(done -> {
             if (done.isSuccess()) {
-                listenAt(bound.channel());
+                startListener(bound.channel());
             }
-            if (done.isSuccess() && ended) {
+            if (done.isSuccess() && stopped) {
                 listener.close();
             }
         });
@@ -86,24 +96,24 @@
     }
 
     /**
-     * Takes clients in over a socket that other processes hold as well.
+     * Listens on a socket that other processes hold as well.
      *
      * @param failures counts the system calls that fail
-     * @param ended is run once it was closed and all that had come by then are known here
+     * @param onClosed runs after the listener was closed, once all clients that were accepted by then are registered here
      */
-    void listen(EventLoop loop, ServerSocketChannel inherited, SystemCallFailures failures, Runnable ended) {
-        var where = new InheritedListener(inherited, loop, failures, client -> {
+    void listen(EventLoop loop, ServerSocketChannel inherited, SystemCallFailures failures, Runnable onClosed) {
+        var inheritedListener = new InheritedListener(inherited, loop, failures, client -> {
             var channel = new RetryingSocketChannel(null, client, failures);
-            channel.pipeline().addLast(new Admission());
+            channel.pipeline().addLast(new ClientInitializer());
             loop.register(channel);
-        }, ended);
-        listenAt(where);
-        where.start();
+        }, onClosed);
+        startListener(inheritedListener);
+        inheritedListener.start();
     }
 
-    private void listenAt(Channel channel) {
+    private void startListener(Channel channel) {
         var retrying = channel instanceof RetryingServerSocketChannel r ? r : null;
-        listenAt(new Listener() {
+        startListener(new Listener() {
             @Override
             public void accept(boolean on) {
                 if (retrying != null) {
@@ -123,101 +133,108 @@
         }
     }
 
-    private void listenAt(Listener where) {
+    private void startListener(Listener delegate) {
         proxy.beat().start();
-        listener = new Backlog(proxy.beat(), where);
+        listener = new AcceptQueueMonitor(proxy.beat(), delegate);
         sockets.listener(listener);
     }
 
-    private final class Admission extends ChannelInitializer<Channel> {
+    /** Sets up the channel of each accepted client. */
+    private final class ClientInitializer extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
-            // Before it counts: it may be the one behind whom the others have to wait.
-            boolean waited = listener.accepted();
+            // Must precede clientOpened, which may pause the listener: clients accepted after that count as having waited.
+            boolean mayHaveWaited = listener.accepted();
             var closing = new Closing(channel, sockets);
             sockets.clientOpened(closing);
             channel.config().setRecvByteBufAllocator(Headers.readingLittle());
             channel.config().setWriteBufferWaterMark(Headers.WATER_MARK);
-            channel.pipeline().addLast(new ClientConnection(Frontend.this, closing, waited));
+            channel.pipeline().addLast(new ClientConnection(Frontend.this, closing, mayHaveWaited));
         }
     }
 
-    /** Tells how late the loop may be with what it reads. */
-    LoopBeat beat() {
+    /** Returns the monitor that tells how late the event loop may be with reading its sockets. */
+    LoopBeat lagMonitor() {
         return proxy.beat();
     }
 
-    Terms terms() {
-        return terms;
+    /** Returns the rules that are in force now. */
+    AdmissionRules admissionRules() {
+        return admissionRules;
     }
 
-    /** Returns whether each answer is to be its connection's last. */
-    boolean closing() {
-        return closing;
+    /** Returns whether each response is to be the last on its connection. */
+    boolean closesAfterResponses() {
+        return closesAfterResponses;
     }
 
-    /** The last moment, on the proxy's clock, at which anything may be answered. */
-    long latestDeadline() {
-        return latestDeadline;
+    /** Returns the time by which all requests are to be answered, in microseconds on the proxy's clock. */
+    long latestDeadlineUs() {
+        return latestDeadlineUs;
     }
 
-    void opened(ClientConnection connection) {
+    void connectionOpened(ClientConnection connection) {
         connections.add(connection);
     }
 
-    void closed(ClientConnection connection) {
+    void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
     }
 
-    /** From now on this proxy is not ready, and whatever it still takes is answered by a moment on its clock. */
-    void drain(long answeredBy) {
+    /**
+     * Starts draining: the proxy is not ready any more, and requests are answered in time.
+     *
+     * @param latestResponseUs the time by which all requests are to be answered, in microseconds on the proxy's clock
+     */
+    void drain(long latestResponseUs) {
         draining = true;
-        latestDeadline = answeredBy;
+        latestDeadlineUs = latestResponseUs;
     }
 
-    /** Returns whether clients may be sent here. */
+    /** Returns whether this proxy is ready for clients. */
     boolean ready() {
-        return listener != null && !draining && ready.getAsBoolean();
+        return listener != null && !draining && upstreamReady.getAsBoolean();
     }
 
+    /** Closes the listener, or the one that is still being bound. */
     void stopListening() {
-        ended = true;
+        stopped = true;
         if (listener != null) {
             listener.close();
         }
     }
 
-    /** Returns whether no client is to be taken in any more. */
+    /** Returns whether {@link #stopListening} was called. */
     boolean ended() {
-        return ended;
+        return stopped;
     }
 
-    /** From now on each answer is its connection's last. */
+    /** Makes each response from now on the last on its connection. */
     void closeAfterAnswers() {
-        closing = true;
+        closesAfterResponses = true;
     }
 
-    /** Closes the connections on which nothing is asked. */
+    /** Closes the connections that carry no request. */
     void closeIdle() {
         List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
     }
 
-    /** Answers all that has been taken and has no answer yet: the process ends. */
+    /** Fails the requests that have no response yet, because the process is about to end. */
     void answerNow() {
-        List.copyOf(connections).forEach(ClientConnection::answerNow);
+        List.copyOf(connections).forEach(ClientConnection::failPendingExchange);
     }
 
-    /** Returns whether any client is still connected: it waits for an answer, or its connection is just being ended. */
+    /** Returns whether any client is still connected, waiting for a response or with its connection being closed. */
     boolean busy() {
         return !connections.isEmpty();
     }
 
-    /** An answer of the proxy's own. */
-    static FullHttpResponse plain(HttpResponseStatus status, String text) {
+    /** Returns a response that the proxy itself gives, with a line of plain text as its body. */
+    static FullHttpResponse textResponse(HttpResponseStatus status, String text) {
         ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
-        var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
-        HttpUtil.setContentLength(answer, body.readableBytes());
-        return answer;
+        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
+        HttpUtil.setContentLength(response, body.readableBytes());
+        return response;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Headers.java
+++ b/proxy/src/main/java/walkpost/proxy/Headers.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The protocol's header names, and what of a message's headers goes on to the next hop. */
+/** Names of the request protocol's headers, and helpers for copying, decoding and buffering the messages of one hop. */
 final class Headers {
     static final String REQUEST_ID = "x-request-id";
     static final String REQUEST_CLASS = "x-priority-class";
@@ -26,38 +26,38 @@
     static final String RETRIED = "x-retried";
     static final String NOT_PROCESSED = "x-not-processed";
 
-    /** These concern one connection alone (RFC 9110, 7.6.1); the content length is set afresh by each sender. */
+    /** Headers that apply to a single connection (RFC 9110, 7.6.1), and the content length, which each sender sets anew. */
     private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection", "te",
             "trailer", "transfer-encoding", "upgrade", "proxy-authenticate", "proxy-authorization", "content-length",
             "expect");
 
-    /** What one connection may have waiting to be written before it counts as busy. */
+    /** A connection becomes unwritable above the upper limit of unwritten bytes, and writable again below the lower one. */
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
-    private static final int READ_AT_ONCE = 16 * 1024;
-    /** Bodies are passed on in the pieces in which they are read. */
-    static final HttpDecoderConfig DECODING = new HttpDecoderConfig().setMaxChunkSize(READ_AT_ONCE);
+    private static final int MAX_READ_BYTES = 16 * 1024;
+    /** Chunks are as large as a read, so that bodies are relayed in the pieces in which they are read. */
+    static final HttpDecoderConfig DECODING = new HttpDecoderConfig().setMaxChunkSize(MAX_READ_BYTES);
 
     private Headers() { }
 
-    /** Returns one for a connection's reads: of hundreds of connections none may take in much at a time. */
+    /** Returns an allocator for a connection's read buffers that keeps single reads small, because there are hundreds of connections. */
     static RecvByteBufAllocator readingLittle() {
-        return new AdaptiveRecvByteBufAllocator(64, 2_048, READ_AT_ONCE);
+        return new AdaptiveRecvByteBufAllocator(64, 2_048, MAX_READ_BYTES);
     }
 
     /**
-     * Returns what has been gathered of a body and its next bytes. They are copied: a small piece would keep the whole
-     * of what was read with it.
+     * Appends the next bytes of a body to those collected so far, and returns the buffer that holds both. The bytes are copied, because a
+     * retained slice would keep the whole buffer of its read in memory.
      */
     static ByteBuf gather(ByteBuf body, ByteBuf next, ByteBufAllocator allocator, Buffers buffers) {
         if (!next.isReadable()) {
             return body;
         }
         buffers.hold(next.readableBytes());
-        ByteBuf into = body == Unpooled.EMPTY_BUFFER ? allocator.buffer(next.readableBytes()) : body;
-        return into.writeBytes(next, next.readerIndex(), next.readableBytes());
+        ByteBuf target = body == Unpooled.EMPTY_BUFFER ? allocator.buffer(next.readableBytes()) : body;
+        return target.writeBytes(next, next.readerIndex(), next.readableBytes());
     }
 
-    /** Returns the end of a message with those of its trailers that are for the other end. */
+    /** Returns the last content of a message, with its end-to-end trailers. */
     static LastHttpContent last(HttpHeaders trailers) {
         if (trailers.isEmpty()) {
             return LastHttpContent.EMPTY_LAST_CONTENT;
@@ -67,23 +67,24 @@
         return last;
     }
 
-    /** Netty takes a line like {@code nothing} for a header of that name; by the protocol no message has one. */
+    /** Rejects a header line without a colon, which HTTP does not allow but Netty takes for a header without a value. */
     static void requireColon(byte[] line, int nameEnd) {
         int end = nameEnd;
         while (end < line.length && (line[end] == ' ' || line[end] == '\t')) {
             end++;
         }
         if (end == line.length || line[end] != ':') {
-            throw new IllegalArgumentException("a header line without a colon");
+            throw new IllegalArgumentException("header line has no colon after the header name");
         }
     }
 
+    /** Copies all headers except the hop-by-hop ones: those of the fixed list and those that the Connection header names. */
     static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
-        boolean named = from.contains(HttpHeaderNames.CONNECTION);
+        boolean hasConnectionHeader = from.contains(HttpHeaderNames.CONNECTION);
         for (Map.Entry<String, String> header : from) {
             String name = header.getKey();
             if (!HOP_BY_HOP.contains(name.toLowerCase(Locale.ROOT))
-                    && !(named && from.containsValue(HttpHeaderNames.CONNECTION, name, true))) {
+                    && !(hasConnectionHeader && from.containsValue(HttpHeaderNames.CONNECTION, name, true))) {
                 to.add(name, header.getValue());
             }
         }
--- a/proxy/src/main/java/walkpost/proxy/InheritedListener.java
+++ b/proxy/src/main/java/walkpost/proxy/InheritedListener.java
@@ -11,16 +11,16 @@
 import java.util.function.Consumer;
 
 /**
- * A listening socket that other processes hold as well. Whether it blocks is a property that all of them share, so it
- * is left as it is, and a thread of its own waits in accept: on a loop, one connection that another process has taken
- * first would hold up all that goes on there.
+ * Accepts connections from an inherited listening socket that other processes hold as well. Whether that socket blocks is a property that
+ * all of these processes share, so it is left unchanged, and a thread of its own waits in {@code accept}: on the event loop, a connection
+ * that another process accepts first would block everything else. Accepted connections are handed to the event loop.
  */
 final class InheritedListener implements Listener {
-    /** After a failure, such as a descriptor too many, the next try waits so long. */
-    private static final long AFTER_FAILURE_MS = 20;
+    /** Delay before the next accept after one has failed, for instance for lack of descriptors. */
+    private static final long RETRY_DELAY_MS = 20;
     /**
-     * So many may be accepted and not yet known to the loop. With one, a busy loop would take in one client a turn, and
-     * the queue of the others fill with such as have given up; many would escape the count of open descriptors.
+     * The limit of connections that are accepted and not yet handled by the event loop. With 1, a busy loop would take one client a turn
+     * while the accept queue fills with clients that have given up; a large number would escape the count of open descriptors.
      */
     static final int AHEAD = 16;
 
@@ -28,24 +28,26 @@
     private final EventLoop loop;
     private final SystemCallFailures failures;
     private final Log log = new Log("listener");
-    private final Consumer<SocketChannel> admit;
-    private final Runnable ended;
-    private final Semaphore ahead = new Semaphore(AHEAD);
-    private boolean open = true;
+    private final Consumer<SocketChannel> onAccepted;
+    private final Runnable onClosed;
+    private final Semaphore handOverPermits = new Semaphore(AHEAD);
+    /** Guarded by this object's monitor. */
+    private boolean accepting = true;
 
     /**
-     * Makes one that takes nobody in yet.
+     * Creates a listener that accepts nothing before {@link #start}.
      *
      * @param failures counts the accepts that fail
-     * @param admit gets each connection, on the loop
-     * @param ended is run on the loop after it was closed, once all that was accepted by then has been admitted
+     * @param onAccepted receives each connection, on the event loop
+     * @param onClosed runs on the event loop after the listener was closed, once {@code onAccepted} has run for all accepted connections
      */
-    InheritedListener(ServerSocketChannel socket, EventLoop loop, SystemCallFailures failures, Consumer<SocketChannel> admit, Runnable ended) {
+    InheritedListener(ServerSocketChannel socket, EventLoop loop, SystemCallFailures failures, Consumer<SocketChannel> onAccepted,
+            Runnable onClosed) {
         this.failures = failures;
         this.socket = socket;
         this.loop = loop;
-        this.admit = admit;
-        this.ended = ended;
+        this.onAccepted = onAccepted;
+        this.onClosed = onClosed;
     }
 
     void start() {
@@ -56,14 +58,14 @@
 
     @Override
     public synchronized void accept(boolean on) {
-        open = on;
+        accepting = on;
         notifyAll();
     }
 
     @Override
     public void close() {
         try {
-            // The shared socket itself lives on: this closes no more than this process's descriptor of it.
+            // This closes only this process's descriptor; the shared socket stays open in the other processes.
             socket.close();
         } catch (IOException e) {
             log.failure("socket_not_closed", e);
@@ -74,34 +76,34 @@
     private void run() {
         try {
             while (socket.isOpen()) {
-                next();
+                acceptNext();
             }
-            loop.execute(ended);
+            loop.execute(onClosed);
         } catch (InterruptedException | RejectedExecutionException e) {
-            // The loop has ended, and with it the process.
+            // The event loop has stopped, and the process ends with it.
         }
     }
 
-    private void next() throws InterruptedException {
+    private void acceptNext() throws InterruptedException {
         try {
-            ahead.acquire();
-            untilOpen();
+            handOverPermits.acquire();
+            awaitAccepting();
             SocketChannel accepted = socket.accept();
             loop.execute(() -> {
-                ahead.release();
-                admit.accept(accepted);
+                handOverPermits.release();
+                onAccepted.accept(accepted);
             });
         } catch (ClosedChannelException e) {
-            // Nobody else is wanted.
+            // The listener was closed, and the loop in run() ends.
         } catch (IOException e) {
-            ahead.release();
+            handOverPermits.release();
             failures.failed("accept", e);
-            TimeUnit.MILLISECONDS.sleep(AFTER_FAILURE_MS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
         }
     }
 
-    private synchronized void untilOpen() throws InterruptedException {
-        while (!open && socket.isOpen()) {
+    private synchronized void awaitAccepting() throws InterruptedException {
+        while (!accepting && socket.isOpen()) {
             wait();
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/Listener.java
+++ b/proxy/src/main/java/walkpost/proxy/Listener.java
@@ -1,10 +1,10 @@
 package walkpost.proxy;
 
-/** Where clients come in. */
+/** Accepts clients' connections. */
 interface Listener {
-    /** Takes no more of them for now, or goes on. */
+    /** Pauses accepting, or resumes it. */
     void accept(boolean on);
 
-    /** Takes no more of them for good. */
+    /** Stops accepting for good. */
     void close();
 }
--- a/proxy/src/main/java/walkpost/proxy/LoopBeat.java
+++ b/proxy/src/main/java/walkpost/proxy/LoopBeat.java
@@ -4,36 +4,38 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells whether the loop was held up, by a pause of the process or a long batch of work. What is read then may have waited
- * all the while, and what would end a request, such as its client's end, may still lie unread behind it. It shows in an
- * overdue beat; as beats and reads take turns, it holds until the beat after it. Used on the loop alone.
+ * Tells whether the event loop lags, because of a pause of the process or a long batch of work. Input that is read then may have waited
+ * all the while, and events that would end a request, such as its client's close, may still be unread behind it. A periodic heartbeat task
+ * shows the lag by being overdue. Heartbeats and reads take turns, so a lag counts until the heartbeat after the overdue one. Used on the
+ * event loop only.
  */
 final class LoopBeat {
-    /** How often the loop shows that it runs, and how late that may be before it counts as held up. */
-    private static final long BEAT_US = 10_000;
-    /** What waits for a look at the sockets waits so long at least: what was on its way has come by then, too. */
-    private static final long LOOK_US = 1_000;
+    /** The heartbeat's period, and how late a heartbeat may be before the loop counts as lagging. */
+    private static final long HEARTBEAT_US = 10_000;
+    /** The least delay of a task that waits for a poll of the sockets, so that input already on its way has arrived by then. */
+    private static final long MIN_POLL_DELAY_US = 1_000;
 
     private final Clock clock;
     private final EventLoop loop;
-    private long beatAt;
-    private long heldUpFrom = Long.MAX_VALUE;
+    private long lastHeartbeatUs;
+    /** When the lag that the last heartbeat has shown began; {@code Long.MAX_VALUE} if that heartbeat was on time. */
+    private long laggingSinceUs = Long.MAX_VALUE;
 
     LoopBeat(Clock clock, EventLoop loop) {
         this.clock = clock;
         this.loop = loop;
-        this.beatAt = clock.now();
+        this.lastHeartbeatUs = clock.now();
     }
 
-    /** Begins to watch the loop. */
+    /** Starts the heartbeat. */
     void start() {
-        beatAt = clock.now();
-        loop.scheduleWithFixedDelay(this::beat, BEAT_US, BEAT_US, TimeUnit.MICROSECONDS);
+        lastHeartbeatUs = clock.now();
+        loop.scheduleWithFixedDelay(this::heartbeat, HEARTBEAT_US, HEARTBEAT_US, TimeUnit.MICROSECONDS);
     }
 
-    private void beat() {
-        heldUpFrom = overdueFrom();
-        beatAt = clock.now();
+    private void heartbeat() {
+        laggingSinceUs = overdueSinceUs();
+        lastHeartbeatUs = clock.now();
     }
 
     /** Returns the time on the proxy's clock, in microseconds. */
@@ -41,25 +43,29 @@
         return clock.now();
     }
 
-    /** Returns when a byte that is read now may have come, in microseconds on the clock: now, unless the loop was held up. */
+    /**
+     * Returns the earliest time at which a byte that is read now may have arrived, in microseconds on the proxy's clock: now, unless the
+     * loop lags.
+     */
     long arrivedAt() {
-        return Math.min(clock.now(), Math.min(heldUpFrom, overdueFrom()));
+        return Math.min(clock.now(), Math.min(laggingSinceUs, overdueSinceUs()));
     }
 
-    /** Returns whether there may be news that the loop has had no chance to read. */
+    /** Returns whether the loop lags, so that input may have arrived that it has had no chance to read. */
     boolean heldUp() {
-        return heldUpFrom != Long.MAX_VALUE || overdueFrom() != Long.MAX_VALUE;
+        return laggingSinceUs != Long.MAX_VALUE || overdueSinceUs() != Long.MAX_VALUE;
     }
 
     /**
-     * Runs it once each socket has been read from, or accepted from, that had something to bring by now. A delay alone is
-     * not enough: a batch of reads that outlasts it is followed by what is due, with no look at the sockets between them.
+     * Runs a task once the loop has read from, or accepted from, each socket that has input by now. The task is scheduled from within
+     * another one, because a delay alone does not suffice: after a batch of reads that outlasts the delay, the loop runs the due tasks
+     * without a poll of the sockets in between.
      */
-    void afterLook(Runnable then) {
-        loop.execute(() -> loop.schedule(then, LOOK_US, TimeUnit.MICROSECONDS));
+    void afterLook(Runnable task) {
+        loop.execute(() -> loop.schedule(task, MIN_POLL_DELAY_US, TimeUnit.MICROSECONDS));
     }
 
-    private long overdueFrom() {
-        return clock.now() - beatAt > 2 * BEAT_US ? beatAt + BEAT_US : Long.MAX_VALUE;
+    private long overdueSinceUs() {
+        return clock.now() - lastHeartbeatUs > 2 * HEARTBEAT_US ? lastHeartbeatUs + HEARTBEAT_US : Long.MAX_VALUE;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -30,46 +30,52 @@
 import java.util.stream.IntStream;
 
 /**
- * Where the operators' staff call: a line to a connection, answered by one that begins with {@code SUCCESS} or
- * {@code FAILURE}. Anyone may connect, so nobody may hold it up or use up its descriptors.
+ * The operator endpoint: takes one call as a line of text on each connection, and answers with a line that begins with {@code SUCCESS} or
+ * {@code FAILURE}. Anyone may connect, so no caller may block the endpoint or use up its descriptors. Used on the event loop only, except
+ * that the stages of the fleet's calls may complete on any thread.
  */
 final class OperatorEndpoint {
-    /** Callers at a time. One more, and the longest connected is let go: most likely it is one that says nothing. */
-    static final int CALLERS = 16;
+    /** When more callers than this are connected, the one connected longest is closed: it is most likely one that sends nothing. */
+    static final int MAX_CALLERS = 16;
     /** The longest call, with an id of {@link Exclusions#LONGEST_ID}. */
-    private static final int LONGEST_LINE = 200;
-    /** The same with the ids of two orders, {@link FleetLink#LONGEST_ORDER} each. */
-    private static final int LONGEST_FLEET_LINE = 340;
-    /** The platform wants an answer or a close within 3 s of connecting, from anyone. */
-    private static final long SILENT_MS = 2_000;
-    /** The end of a connection is waited for so long, lest bytes still unread turn it into a reset. */
+    private static final int MAX_LINE_BYTES = 200;
+    /** The longest call with, in addition, the ids of two orders of {@link FleetLink#LONGEST_ORDER} each. */
+    private static final int MAX_FLEET_LINE_BYTES = 340;
+    /** A caller must send its line within this time; the platform demands an answer or a close within 3 s of connecting. */
+    private static final long LINE_TIMEOUT_MS = 2_000;
+    /** Delay between the end of the output and the close, because a close with unread input would reset the connection. */
     private static final long LINGER_MS = 500;
 
-    /** A call that can't be understood. */
-    private static final class BadCall extends Exception {
+    /** Thrown for a call that is unknown or malformed; its message goes into the answer. */
+    private static final class InvalidCallException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadCall(String why) {
-            super(why, null, false, false);
+        InvalidCallException(String message) {
+            super(message, null, false, false);
         }
     }
 
-    /** Carries a call out; the stage, on whatever thread, ends with the whole line that answers it. */
-    private interface Doing {
-        CompletionStage<String> of(String[] words) throws BadCall, Exclusions.Refused;
+    /** Carries out a call. The stage completes with the line that answers it, on any thread. */
+    private interface CallHandler {
+        CompletionStage<String> handle(String[] words) throws InvalidCallException, Exclusions.ExclusionRejectedException;
     }
 
-    /** A call: small letters are said as they stand, capitals stand for a word, and brackets for one that may be left out. */
-    private record Call(String form, int longest, Doing doing) {
-        boolean fits(String[] words) {
+    /**
+     * A kind of call.
+     *
+     * @param form its words: those in lower case are literal, those in capitals are arguments, and one in brackets is optional
+     * @param maxBytes the longest line of such a call
+     */
+    private record Call(String form, int maxBytes, CallHandler handler) {
+        boolean matches(String[] words) {
             String[] parts = form.split(" ");
-            int most = parts.length;
-            int least = parts[most - 1].startsWith("[") ? most - 1 : most;
-            return words.length >= least && words.length <= most && IntStream.range(0, words.length)
+            int maxWords = parts.length;
+            int minWords = parts[maxWords - 1].startsWith("[") ? maxWords - 1 : maxWords;
+            return words.length >= minWords && words.length <= maxWords && IntStream.range(0, words.length)
                     .allMatch(i -> !Character.isLowerCase(parts[i].charAt(0)) || parts[i].equals(words[i]));
         }
 
-        boolean begins(String word) {
+        boolean startsWith(String word) {
             return form.split(" ")[0].equals(word);
         }
     }
@@ -77,137 +83,147 @@
     private final Log log = new Log("operators");
     private final BooleanSupplier ready;
     private final Exclusions exclusions;
-    /** Null where this proxy is in no fleet. */
+    /** Null if this proxy is not a member of a fleet. */
     private final FleetSide fleet;
+    /** The open connections, the oldest first. */
     private final Set<Channel> callers = new LinkedHashSet<>();
-    /** All that may be called; made at the first call, as a start is paid for by clients who wait for it. */
+    /** All calls; created at the first call, because clients wait while the proxy starts. */
     private List<Call> calls;
 
+    /**
+     * Creates an endpoint that does not listen yet.
+     *
+     * @param fleet null if this proxy is not a member of a fleet
+     */
     OperatorEndpoint(BooleanSupplier ready, Exclusions exclusions, FleetSide fleet) {
         this.ready = ready;
         this.exclusions = exclusions;
         this.fleet = fleet;
     }
 
-    private List<Call> table() {
+    private List<Call> createCalls() {
         return List.of(
-                new Call("readyz", LONGEST_LINE, words -> now(ready.getAsBoolean() ? "SUCCESS ready" : "FAILURE not ready")),
-                new Call("exclude ID", LONGEST_LINE, words -> {
+                new Call("readyz", MAX_LINE_BYTES, words -> completed(ready.getAsBoolean() ? "SUCCESS ready" : "FAILURE not ready")),
+                new Call("exclude ID", MAX_LINE_BYTES, words -> {
                     exclusions.exclude(words[1]);
-                    return now("SUCCESS " + words[1] + " is taken out");
+                    return completed("SUCCESS " + words[1] + " is taken out");
                 }),
-                new Call("include ID", LONGEST_LINE, words -> now("SUCCESS " + words[1] + (exclusions.include(words[1])
+                new Call("include ID", MAX_LINE_BYTES, words -> completed("SUCCESS " + words[1] + (exclusions.include(words[1])
                         ? " is in use again" : " is given back here, but the fleet has it out"))),
-                new Call("fleet", LONGEST_LINE, words -> fleet().fleet()),
-                new Call("orders", LONGEST_LINE, words -> fleet().orders()),
-                new Call("facts TOPIC", LONGEST_LINE, words -> fleet().facts(words[1])),
-                new Call("held ID ORDER", LONGEST_FLEET_LINE, words -> fleet().held(words[1], words[2])),
-                new Call("exclude ID fleet ORDER [REPLACES]", LONGEST_FLEET_LINE, words -> order(words, true)),
-                new Call("include ID fleet ORDER [REPLACES]", LONGEST_FLEET_LINE, words -> order(words, false)));
+                new Call("fleet", MAX_LINE_BYTES, words -> fleet().fleet()),
+                new Call("orders", MAX_LINE_BYTES, words -> fleet().orders()),
+                new Call("facts TOPIC", MAX_LINE_BYTES, words -> fleet().facts(words[1])),
+                new Call("held ID ORDER", MAX_FLEET_LINE_BYTES, words -> fleet().held(words[1], words[2])),
+                new Call("exclude ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, true)),
+                new Call("include ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, false)));
     }
 
-    private CompletionStage<String> order(String[] words, boolean out) throws BadCall {
-        return fleet().order(words[1], out, words[3], words.length > 4 ? words[4] : null);
+    private CompletionStage<String> order(String[] words, boolean excluded) throws InvalidCallException {
+        return fleet().order(words[1], excluded, words[3], words.length > 4 ? words[4] : null);
     }
 
-    private FleetSide fleet() throws BadCall {
+    private FleetSide fleet() throws InvalidCallException {
         if (fleet == null) {
-            throw new BadCall("this proxy is in no fleet, as " + Surroundings.FLEET + " names no file");
+            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + Surroundings.FLEET
+                    + " is not set");
         }
         return fleet;
     }
 
-    private static CompletionStage<String> now(String answer) {
+    private static CompletionStage<String> completed(String answer) {
         return CompletableFuture.completedFuture(answer);
     }
 
+    /** Listens for callers; returns the future of the listening channel. */
     ChannelFuture listen(EventLoop loop, SocketAddress address, SystemCallFailures failures) {
         return new ServerBootstrap().group(loop).channelFactory(() -> new RetryingServerSocketChannel(failures))
-                // One that has ended its sending may still read what it is told.
+                // A caller that has shut down its output still reads the answer.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        admit(channel);
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_FLEET_LINE, true, true), new Caller());
+                        register(channel);
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_FLEET_LINE_BYTES, true, true), new CallerHandler());
                     }
                 }).bind(address);
     }
 
-    private void admit(Channel channel) {
-        if (callers.size() >= CALLERS) {
+    /** Counts a new caller, and closes the oldest one if there are too many. */
+    private void register(Channel channel) {
+        if (callers.size() >= MAX_CALLERS) {
             callers.iterator().next().close();
         }
         callers.add(channel);
         channel.closeFuture().addListener(f -> callers.remove(channel));
     }
 
-    private CompletionStage<String> answer(ByteBuf line) {
-        int length = line.readableBytes();
+    /** Carries out the call of a line; returns the stage of its answer. */
+    private CompletionStage<String> handle(ByteBuf line) {
+        int lengthBytes = line.readableBytes();
         try {
-            String[] words = text(line).trim().split("[ \t]+", -1);
-            Call call = call(words);
-            if (length > call.longest) {
-                throw new BadCall("the line is too long");
+            String[] words = decode(line).trim().split("[ \t]+", -1);
+            Call call = findCall(words);
+            if (lengthBytes > call.maxBytes) {
+                throw new InvalidCallException("the line is too long");
             }
-            return call.doing.of(words);
-        } catch (BadCall | Exclusions.Refused e) {
-            return now("FAILURE " + e.getMessage());
+            return call.handler.handle(words);
+        } catch (InvalidCallException | Exclusions.ExclusionRejectedException e) {
+            return completed("FAILURE " + e.getMessage());
         } catch (RuntimeException e) {
             log.failure("call_failed", e);
-            return now("FAILURE " + e);
+            return completed("FAILURE " + e);
         }
     }
 
-    private Call call(String[] words) throws BadCall {
+    private Call findCall(String[] words) throws InvalidCallException {
         if (calls == null) {
-            calls = table();
+            calls = createCalls();
         }
         for (Call call : calls) {
-            if (call.fits(words)) {
+            if (call.matches(words)) {
                 return call;
             }
         }
-        boolean known = calls.stream().anyMatch(call -> call.begins(words[0]));
-        throw new BadCall((known ? "that is not the form of the call: " : "no such call; there are: ")
-                + calls.stream().filter(call -> !known || call.begins(words[0])).map(Call::form).collect(Collectors.joining(", ")));
+        boolean known = calls.stream().anyMatch(call -> call.startsWith(words[0]));
+        throw new InvalidCallException((known ? "wrong arguments; expected: " : "unknown call; expected one of: ")
+                + calls.stream().filter(call -> !known || call.startsWith(words[0])).map(Call::form).collect(Collectors.joining(", ")));
     }
 
-    private static String text(ByteBuf line) throws BadCall {
+    private static String decode(ByteBuf line) throws InvalidCallException {
         try {
             var bytes = ByteBuffer.allocate(line.readableBytes());
             line.readBytes(bytes);
             String text = StandardCharsets.UTF_8.newDecoder().decode(bytes.flip()).toString();
             if (text.chars().anyMatch(c -> Character.isISOControl(c) && c != '\t')) {
-                throw new BadCall("not a line of text");
+                throw new InvalidCallException("the line is not text; expected UTF-8 without control characters");
             }
             return text;
         } catch (CharacterCodingException e) {
-            throw new BadCall("not a line of text");
+            throw new InvalidCallException("the line is not text; expected UTF-8 without control characters");
         }
     }
 
-    /** One connection: its first line is its call, and what comes behind that is dropped. */
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private Future<?> silent;
-        /** Its line has come; the answer may take its time. */
-        private boolean asked;
+    /** Handles one caller's connection: takes the first line as its call and drops further input. */
+    private final class CallerHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private Future<?> lineTimeout;
+        /** Whether the line has arrived; its answer may take longer than {@link #LINE_TIMEOUT_MS}. */
+        private boolean lineReceived;
         private boolean answered;
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            silent = ctx.executor().schedule(() -> answer(ctx, "FAILURE no whole line in time"), SILENT_MS,
+            lineTimeout = ctx.executor().schedule(() -> answer(ctx, "FAILURE no whole line in time"), LINE_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            if (asked || answered) {
+            if (lineReceived || answered) {
                 return;
             }
-            asked = true;
-            silent.cancel(false);
-            OperatorEndpoint.this.answer(line).whenComplete((text, e) -> {
+            lineReceived = true;
+            lineTimeout.cancel(false);
+            OperatorEndpoint.this.handle(line).whenComplete((text, e) -> {
                 if (ctx.executor().inEventLoop()) {
                     answer(ctx, text);
                 } else {
@@ -221,7 +237,7 @@
                 return;
             }
             answered = true;
-            silent.cancel(false);
+            lineTimeout.cancel(false);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text.replaceAll("\\s", " ") + "\n", StandardCharsets.UTF_8))
                     .addListener(f -> {
                         ((DuplexChannel) ctx.channel()).shutdownOutput();
@@ -234,7 +250,7 @@
             if (event instanceof ChannelInputShutdownEvent) {
                 if (answered) {
                     ctx.close();
-                } else if (!asked) {
+                } else if (!lineReceived) {
                     answer(ctx, "FAILURE the line has no end");
                 }
             }
@@ -243,7 +259,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-            silent.cancel(false);
+            lineTimeout.cancel(false);
             super.channelInactive(ctx);
         }
 
@@ -251,7 +267,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof TooLongFrameException)) {
                 ctx.close();
-            } else if (!asked) {
+            } else if (!lineReceived) {
                 answer(ctx, "FAILURE the line is too long");
             }
         }
--- a/proxy/src/main/java/walkpost/proxy/RequestDecoder.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestDecoder.java
@@ -4,28 +4,28 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.AsciiString;
 
-/** Netty's decoder, where it would let pass what has no meaning, or two. */
+/** Netty's request decoder, which also rejects heads without a meaning, or with two, and tells when a head is incomplete. */
 final class RequestDecoder extends HttpRequestDecoder {
-    /** Whether a first line has come, and not yet the rest of its head. */
-    private boolean inHead;
+    /** Whether the request line has been decoded and the rest of its head has not. */
+    private boolean headStarted;
 
     RequestDecoder() {
         super(Headers.DECODING);
     }
 
-    /** Returns whether bytes have come of a request whose head is not whole; empty lines between requests are none. */
-    boolean midway() {
-        return inHead || actualReadableBytes() > 0;
+    /** Returns whether bytes of an incomplete head have arrived; empty lines between requests do not count. */
+    boolean isInsideHead() {
+        return headStarted || actualReadableBytes() > 0;
     }
 
-    /** A head is whole. */
-    void headEnded() {
-        inHead = false;
+    /** Notes that the current head is complete. */
+    void headCompleted() {
+        headStarted = false;
     }
 
     @Override
     protected String splitFirstWordInitialLine(byte[] line, int start, int length) {
-        inHead = true;
+        headStarted = true;
         return super.splitFirstWordInitialLine(line, start, length);
     }
 
@@ -37,6 +37,6 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("a length told in two ways");
+        throw new IllegalArgumentException("both Transfer-Encoding and Content-Length are present; expected one of them");
     }
 }
--- /dev/null
+++ b/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
@@ -0,0 +1,96 @@
+package walkpost.proxy;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+
+/**
+ * Receives one request from a client. A short body is collected before the exchange starts; for a long one the exchange starts at once and
+ * the body is relayed as it arrives. Used on the event loop only.
+ */
+final class RequestReceiver implements BodyRelay.Source {
+    private final Frontend frontend;
+    private final ClientConnection connection;
+    private final HttpRequest head;
+    private final Frontend.AdmissionRules rulesAtArrival;
+    private ByteBuf body = Unpooled.EMPTY_BUFFER;
+    /** Whether the client waits for {@code 100 Continue} before it sends the body. */
+    private boolean awaitsContinue;
+    private ClientExchange startedExchange;
+
+    RequestReceiver(Frontend frontend, ClientConnection connection, HttpRequest head) {
+        this.frontend = frontend;
+        this.connection = connection;
+        this.head = head;
+        this.rulesAtArrival = frontend.admissionRules();
+        this.awaitsContinue = HttpUtil.is100ContinueExpected(head);
+    }
+
+    /**
+     * Sends {@code 100 Continue} if the client waits for it. Must not be called while an earlier request is being answered, because the
+     * client would read it as a part of that response.
+     */
+    void sendContinue() {
+        if (awaitsContinue) {
+            awaitsContinue = false;
+            connection.channel().writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
+        }
+    }
+
+    /** Takes the next piece of the body; starts the exchange if the request is complete or its body is too long to be collected. */
+    void add(HttpContent content) {
+        ByteBuf bytes = content.content();
+        connection.bodyBytesReceived(bytes.readableBytes());
+        awaitsContinue &= !bytes.isReadable();
+        if (startedExchange == null && bytes.isReadable()
+                && (body.readableBytes() + bytes.readableBytes() > Backends.MAX_BODY || frontend.buffers.full())) {
+            var relay = new BodyRelay(body, this, frontend.buffers);
+            body = Unpooled.EMPTY_BUFFER;
+            startedExchange = new ClientExchange(frontend, connection, head, rulesAtArrival, body, relay);
+            connection.startOrQueue(startedExchange);
+        }
+        if (startedExchange != null) {
+            startedExchange.relayRequestBody(bytes.retain());
+        } else {
+            body = Headers.gather(body, bytes, connection.channel().alloc(), frontend.buffers);
+        }
+        if (content instanceof LastHttpContent last && connection.isReceiving(this)) {
+            connection.requestCompleted();
+            if (startedExchange == null) {
+                connection.startOrQueue(new ClientExchange(frontend, connection, head, rulesAtArrival, body, null));
+            } else {
+                startedExchange.requestCompleted(last.trailingHeaders());
+            }
+        }
+    }
+
+    boolean awaitsContinue() {
+        return awaitsContinue;
+    }
+
+    /** Returns the exchange that was started before the request was complete, or null if there is none. */
+    ClientExchange startedExchange() {
+        return startedExchange;
+    }
+
+    void release() {
+        frontend.buffers.letGo(body.readableBytes());
+        body.release();
+    }
+
+    @Override
+    public void reading(boolean on) {
+        connection.setReadPaused(!on);
+    }
+
+    @Override
+    public void unwanted() {
+        // Further bytes are dropped; the client learns the reason from the response to the exchange.
+    }
+}
--- a/proxy/src/main/java/walkpost/proxy/RestingConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/RestingConnections.java
@@ -11,22 +11,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * The open connections to one backend that carry no attempt. The one used last is taken first, so that the others grow
- * old and are closed, but rather one that has rested a little; and none is taken on which anything has come, or which has rested for too long.
+ * The idle connections of the pool to one server. Hands out the connection that was used last, so that the others reach the idle timeout
+ * and are closed, but prefers those that have been idle for {@link #SETTLING_US}. A connection that has unread input, or has been idle for
+ * too long, is closed instead of being handed out. Used on the event loop only.
  */
 final class RestingConnections {
-    private record Resting(Channel channel, long sinceUs) { }
+    private record IdleConnection(Channel channel, long sinceUs) { }
 
-    /** Within this a second answer, which nobody has asked for, may still be on its way. */
+    /** The time in which a second response that nobody has requested may still arrive on a connection. */
     private static final long SETTLING_US = 20_000;
 
     private final LongSupplier clock;
     private final Sockets sockets;
-    private final Deque<Resting> resting = new ArrayDeque<>();
-    private final ByteBuffer looked = ByteBuffer.allocateDirect(1);
+    /** Ordered by the start of the idle time, the longest idle first. */
+    private final Deque<IdleConnection> idle = new ArrayDeque<>();
+    private final ByteBuffer probeBuffer = ByteBuffer.allocateDirect(1);
 
     /**
-     * Makes one.
+     * Creates an empty set.
      *
      * @param clock in microseconds
      */
@@ -36,25 +38,26 @@
     }
 
     boolean isEmpty() {
-        return resting.isEmpty();
+        return idle.isEmpty();
     }
 
     void add(Channel channel) {
-        resting.addLast(new Resting(channel, clock.getAsLong()));
+        idle.addLast(new IdleConnection(channel, clock.getAsLong()));
         sockets.backendIdle(channel, true);
     }
 
     /**
-     * Takes one that can be written to, and closes those that it finds to be otherwise.
+     * Takes out a usable connection, and closes the unusable ones that it comes across.
      *
-     * @param mostUs how long it may have rested: a late loop is late with its timers too, so the clock is asked as well
-     * @return null if there is none
+     * @param maxIdleUs the longest idle time of a usable connection; it is checked here as well because the idle timers of a lagging event
+     *                  loop are late
+     * @return null if there is no usable connection
      */
-    Channel take(long mostUs) {
-        while (!resting.isEmpty()) {
-            Resting next = next();
+    Channel take(long maxIdleUs) {
+        while (!idle.isEmpty()) {
+            IdleConnection next = removeNext();
             sockets.backendIdle(next.channel(), false);
-            if (clock.getAsLong() - next.sinceUs() <= mostUs && next.channel().isActive() && isQuiet(next.channel())) {
+            if (clock.getAsLong() - next.sinceUs() <= maxIdleUs && next.channel().isActive() && hasNoUnreadInput(next.channel())) {
                 return next.channel();
             }
             next.channel().close();
@@ -62,47 +65,48 @@
         return null;
     }
 
-    /** Takes the last of those that a late answer would have come to by now; if there is none, the last of all. */
-    private Resting next() {
-        long settled = clock.getAsLong() - SETTLING_US;
-        for (Iterator<Resting> each = resting.descendingIterator(); each.hasNext();) {
-            Resting one = each.next();
-            if (one.sinceUs() <= settled) {
-                each.remove();
-                return one;
+    /** Removes the connection used last among those idle for {@link #SETTLING_US}; if there are none, the one used last of all. */
+    private IdleConnection removeNext() {
+        long settledBeforeUs = clock.getAsLong() - SETTLING_US;
+        for (Iterator<IdleConnection> latestFirst = idle.descendingIterator(); latestFirst.hasNext();) {
+            IdleConnection candidate = latestFirst.next();
+            if (candidate.sinceUs() <= settledBeforeUs) {
+                latestFirst.remove();
+                return candidate;
             }
         }
-        return resting.removeLast();
+        return idle.removeLast();
     }
 
     /**
-     * Returns whether nothing waits to be read, be it bytes, the end or a reset: the loop may not have come to it yet.
-     * What was sent before the request can't be the answer to it, and to a backend that has hung up nothing is sent.
+     * Returns whether the socket has no bytes, end of stream or reset to be read, which the event loop may not have processed yet. Bytes
+     * that were sent before the request cannot be its response, and a server that has closed its side must not be sent a request.
      */
-    private boolean isQuiet(Channel channel) {
+    private boolean hasNoUnreadInput(Channel channel) {
         if (!(channel.unsafe() instanceof AbstractNioChannel.NioUnsafe nio) || !(nio.ch() instanceof ReadableByteChannel in)) {
             return true;
         }
         try {
-            return in.read(looked.clear()) == 0;
+            return in.read(probeBuffer.clear()) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** One that has been closed is here no longer. */
+    /** Removes a connection that has been closed. */
     void remove(Channel channel) {
-        for (Iterator<Resting> each = resting.iterator(); each.hasNext();) {
-            if (each.next().channel() == channel) {
-                each.remove();
+        for (Iterator<IdleConnection> iterator = idle.iterator(); iterator.hasNext();) {
+            if (iterator.next().channel() == channel) {
+                iterator.remove();
                 return;
             }
         }
     }
 
+    /** Closes and removes all connections. */
     void close() {
-        while (!resting.isEmpty()) {
-            Channel channel = resting.removeLast().channel();
+        while (!idle.isEmpty()) {
+            Channel channel = idle.removeLast().channel();
             sockets.backendIdle(channel, false);
             channel.close();
         }
--- a/proxy/src/main/java/walkpost/proxy/TakenOut.java
+++ b/proxy/src/main/java/walkpost/proxy/TakenOut.java
@@ -6,41 +6,41 @@
 import java.util.Set;
 
 /**
- * Which backends are out: all that anyone has taken out, the operators at this proxy's own door or the fleet. A backend is given back
- * once nobody has it out any more. The owner of that union, on the one event loop.
+ * The excluded servers: the union of the exclusions of all sources, which are the operator endpoint of this proxy and the fleet. A server
+ * is in use again once no source excludes it. Used on the event loop only.
  */
 final class TakenOut {
     private final Proxy proxy;
-    /** Who has a backend out; none for those that are in use. */
-    private final Map<String, Set<Exclusions>> takers = new HashMap<>();
+    /** The sources that exclude a server, by its id; a server in use has no entry. */
+    private final Map<String, Set<Exclusions>> sourcesById = new HashMap<>();
 
     TakenOut(Proxy proxy) {
         this.proxy = proxy;
     }
 
-    /** Returns whether the operators may speak of a backend by this id. */
-    boolean knows(String id) {
+    /** Returns whether a server is listed by discovery or excluded, so that operators may name it. */
+    boolean isKnown(String id) {
         return proxy.knowsBackend(id);
     }
 
-    /** Someone takes a backend out. */
-    void take(String id, Exclusions who) {
-        Set<Exclusions> standing = takers.computeIfAbsent(id, i -> new HashSet<>(2));
-        if (standing.add(who) && standing.size() == 1) {
+    /** Adds a source's exclusion of a server. */
+    void exclude(String id, Exclusions source) {
+        Set<Exclusions> sources = sourcesById.computeIfAbsent(id, i -> new HashSet<>(2));
+        if (sources.add(source) && sources.size() == 1) {
             proxy.excluded(id);
         }
     }
 
-    /** Someone that had taken a backend out gives it back; returns whether it is in use again. */
-    boolean give(String id, Exclusions who) {
-        Set<Exclusions> standing = takers.get(id);
-        if (standing == null) {
+    /** Removes a source's exclusion of a server; returns whether the server is in use again. */
+    boolean include(String id, Exclusions source) {
+        Set<Exclusions> sources = sourcesById.get(id);
+        if (sources == null) {
             return true;
         }
-        if (!standing.remove(who) || !standing.isEmpty()) {
+        if (!sources.remove(source) || !sources.isEmpty()) {
             return false;
         }
-        takers.remove(id);
+        sourcesById.remove(id);
         proxy.included(id);
         return true;
     }
--- a/proxy/src/test/java/walkpost/proxy/ClosingTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ClosingTest.java
@@ -26,14 +26,14 @@
     @Test
     void bytesThatCrossTheCloseCostNoAnswer() throws Exception {
         String body = "0123456789".repeat(6_000);
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var socket = new Socket()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var socket = new Socket()) {
             // So little that most of the answer waits on the proxy's side.
             socket.setReceiveBufferSize(4_096);
             socket.connect(proxy.address);
             var client = new Wire(socket);
             client.send(Fixture.get("r1").replace("X-Tenant-Id", "Connection: close\r\nX-Tenant-Id")
                     + Fixture.get("r2").repeat(2_000));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
             attempt.send(Peer.ok(body));
             assertThat(client.read().body()).isEqualTo(body);
@@ -74,8 +74,8 @@
     @Test
     void aRequestThatCrossesTheEndOfAnIdleConnectionIsNotServed() throws Exception {
         var crowd = new ArrayList<Wire>();
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, backend)) {
-            backend.always(Peer.ok("x"));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
+            server.always(Peer.ok("x"));
             for (int i = 0; i < 21; i++) {
                 crowd.add(proxy.client());
                 assertThat(crowd.get(i).send(Fixture.get("r" + i)).read().status()).isEqualTo(200);
@@ -96,8 +96,8 @@
     @Test
     void aSilentCrowdMakesRoomForAClient() throws Exception {
         var crowd = new ArrayList<Wire>();
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, backend)) {
-            backend.always(Peer.ok("x"));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
+            server.always(Peer.ok("x"));
             for (int i = 0; i < 20; i++) {
                 crowd.add(proxy.client());
             }
@@ -121,11 +121,11 @@
     @ValueSource(ints = {0, 100})
     void whoeverHasGoneBeforeItIsAcceptedIsSentNowhere(int behind) throws Exception {
         var crowd = new ArrayList<Wire>();
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("gone")) {
                 actions.accept(new Send(a.id(), "s0", 0));
             }
-        }, 128, 15_000_000, backend)) {
+        }, 128, 15_000_000, server)) {
             // As many as it takes in, none of which can be given up: each waits for its answer.
             for (int i = 0; i < 20; i++) {
                 crowd.add(proxy.client().send(Fixture.get("r" + i)));
@@ -162,12 +162,12 @@
     /** More than any client has reason to send ahead: what was taken is answered, and the rest with an error. */
     @Test
     void aFloodIsAnsweredAsFarAsItWasTaken() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             String other = Fixture.get("r1").replace("/api", "/other");
             String flood = Fixture.get("r0").replace("1900m", "60000m") + other.repeat(100_000);
             // It takes more than the system does: it is being read.
             CompletableFuture.runAsync(() -> send(client, flood)).get(10, TimeUnit.SECONDS);
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
             attempt.send(Peer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
--- a/proxy/src/test/java/walkpost/proxy/FrontendTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FrontendTest.java
@@ -19,8 +19,8 @@
 
     @Test
     void passesRequestAndAnswerOnUnchanged() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.answer("200 OK", "an\r\n\r\nswer", "Content-Type: a/b",
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<Wire.Message> seen = server.always(Peer.answer("200 OK", "an\r\n\r\nswer", "Content-Type: a/b",
                     "Connection: X-Hop", "X-Hop: 1"));
             Wire.Message answer = client.send(Fixture.post("r1", "bo\r\n\0dy")).read();
             Wire.Message request = Peer.next(seen);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Whatever is wrong with a request, it costs neither a backend nor the module anything. */
+    /** Whatever is wrong with a request, it costs neither a server nor the module anything. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "X-Priority-Class: read|X-Priority-Class: write|400",
@@ -79,9 +79,9 @@
         "GET /api?k=u1 HTTP/1.1|GET /api?k=u1 HTTP/2.7|400",
         "GET /api?k=u1 HTTP/1.1|NONSENSE|400"})
     void turnsBadRequestsAway(String good, String bad, int status) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             assertThat(client.send(Fixture.get("r1").replace(good, bad)).read().status()).isEqualTo(status);
-            backend.always(Peer.ok("x"));
+            server.always(Peer.ok("x"));
             assertThat(proxy.client().send(Fixture.get("good")).read().status()).isEqualTo(200);
             assertThat(proxy.next(Arrival.class).id()).isEqualTo("good");
         }
@@ -89,7 +89,7 @@
 
     @Test
     void aPathThatIsNoSingleLineIsNotPassedOn() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend)) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
             for (String bad : List.of("/api?k=a\rb", "/api?k=a\0b", "/api?k=a\u007fb")) {
                 try (var client = proxy.client()) {
                     assertThat(client.send(Fixture.get("r1").replace("/api?k=u1", bad)).read().status()).isEqualTo(400);
@@ -102,8 +102,8 @@
     @Test
     void passesTheLongestBodies() throws Exception {
         String body = "0123456789abcdef".repeat(4_096);
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.ok(body));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<Wire.Message> seen = server.always(Peer.ok(body));
             assertThat(client.send(Fixture.post("r1", body)).read().body()).isEqualTo(body);
             assertThat(Peer.next(seen).body()).isEqualTo(body);
         }
@@ -163,9 +163,9 @@
     /** What comes behind a request that is being served must neither overtake its answer nor cost it. */
     @Test
     void rubbishBehindARequestIsAnsweredAfterIt() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1") + "RUBBISH\r\n\r\n" + Fixture.get("r2"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
             attempt.send(Peer.ok("x"));
             assertThat(client.read().body()).isEqualTo("x");
--- a/proxy/src/test/java/walkpost/proxy/LongBodyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/LongBodyTest.java
@@ -50,8 +50,8 @@
 
     @Test
     void passesALongRequestOnAndThenItsTimeBegins() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.ok("made"));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
             sendBeside(client, Fixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
             Wire.Message request = Peer.next(seen);
@@ -67,9 +67,9 @@
 
     @Test
     void passesALongRequestOfUnknownLengthOnWithItsTrailers() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             sendBeside(client, chunkedPost("r1") + chunked(LONG, "X-Sum: 7\r\n"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             Wire.Message request = attempt.readChunked();
             assertThat(request.body()).isEqualTo(LONG);
             assertThat(request.header("X-Sum")).isEqualTo("7");
@@ -80,9 +80,9 @@
 
     @Test
     void passesALongAnswerOnAndTellsWhenItBegins() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
             attempt.send("HTTP/1.1 200 OK\r\nContent-Length: " + LONG.length() + "\r\n\r\n" + LONG.charAt(0));
             assertThat(proxy.next(StreamStarted.class)).isEqualTo(new StreamStarted("r1", 0));
@@ -98,8 +98,8 @@
 
     @Test
     void passesALongAnswerOfUnknownLengthOnWithItsTrailers() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            backend.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, "X-Sum: 7\r\n"));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+            server.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, "X-Sum: 7\r\n"));
             Wire.Message answer = client.send(Fixture.get("r1")).readChunked();
             assertThat(answer.body()).isEqualTo(LONG);
             assertThat(answer.header("X-Sum")).isEqualTo("7");
@@ -110,9 +110,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void anAnswerMayEndWithItsConnection(boolean isLong) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
-            try (Wire attempt = backend.accept()) {
+            try (Wire attempt = server.accept()) {
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\n\r\n" + (isLong ? LONG : "made"));
             }
@@ -123,8 +123,8 @@
     /** An old client knows no chunks: to it such an answer ends with the connection. */
     @Test
     void anOldClientIsToldTheEndByTheConnection() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            backend.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, ""));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+            server.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, ""));
             client.send(Fixture.get("r1").replace("HTTP/1.1", "HTTP/1.0"));
             String all = client.rest();
             assertThat(all).doesNotContainIgnoringCase("transfer-encoding").endsWith("\r\n\r\n" + LONG);
@@ -135,9 +135,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 640000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n4e200\r\n"})
     void aLongAnswerThatBreaksIsBrokenForTheClient(String framing) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
-            try (Wire attempt = backend.accept()) {
+            try (Wire attempt = server.accept()) {
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\n" + framing + HALF);
                 proxy.next(StreamStarted.class);
@@ -154,11 +154,11 @@
     /** Whoever has gone is not sent the rest, and the tile server is not kept at it. */
     @Test
     void aClientThatLeavesALongAnswerEndsTheAttempt() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend)) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
             Wire attempt;
             try (var client = proxy.client()) {
                 client.send(Fixture.get("r1"));
-                attempt = backend.accept();
+                attempt = server.accept();
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\nContent-Length: 640000\r\n\r\n" + HALF);
                 proxy.next(StreamStarted.class);
@@ -173,14 +173,14 @@
     void aLongRequestIsTriedElsewhereIfNothingOfItIsLost() throws Exception {
         var dead = new Peer();
         dead.close();
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && !e.last()) {
                 actions.accept(new Send(e.id(), "s1", 0));
             }
-        }, dead, backend); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.ok("made"));
+        }, dead, server); var client = proxy.client()) {
+            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
             sendBeside(client, Fixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
             assertThat(Peer.next(seen).body()).isEqualTo(LONG);
@@ -189,7 +189,7 @@
 
     @Test
     void aLongRequestHalfOfWhichIsGoneIsNotSentAgain() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && e.attempt() == 0) {
@@ -197,9 +197,9 @@
             } else if (event instanceof AttemptEnded e) {
                 actions.accept(new Refuse(e.id(), 0));
             }
-        }, backend); var client = proxy.client()) {
+        }, server); var client = proxy.client()) {
             client.send(Fixture.post("r1", LONG).substring(0, 200_000));
-            try (Wire attempt = backend.accept()) {
+            try (Wire attempt = server.accept()) {
                 attempt.readHead();
                 attempt.skip(150_000);
             }
@@ -228,9 +228,9 @@
     /** A long body may take its time, but neither stand still nor trickle. */
     @Test
     void aLongRequestThatStandsStillIsGivenUp() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.post("r1", LONG).substring(0, 100_000));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.readHead();
             assertThat(client.read().status()).isEqualTo(408);
             assertThat(client.ended()).isTrue();
@@ -240,8 +240,8 @@
 
     @Test
     void invitesABodyThatTheClientHoldsBack() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.ok("made"));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
             String request = Fixture.post("r1", "body").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
             assertThat(client.send(request).readHead().status()).isEqualTo(100);
             assertThat(client.send("body").read().body()).isEqualTo("made");
@@ -251,8 +251,8 @@
 
     @Test
     void sendsATargetOnWithoutSchemeAndHost() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.ok("made"));
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
             client.send(Fixture.get("r1").replace("GET /api", "GET http://service.internal/api")).read();
             assertThat(Peer.next(seen).first()).isEqualTo("GET /api?k=u1 HTTP/1.1");
         }
--- a/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
+++ b/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
@@ -34,11 +34,11 @@
 
     @Test
     void tellsWhetherItIsReadyAsItTellsClients() throws Exception {
-        try (var backend = new Peer(); var proxy = Fixture.operated((event, actions) -> {
+        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> {
             if (event instanceof Arrival) {
                 actions.accept(new Watch(true));
             }
-        }, temp, backend); var client = proxy.client()) {
+        }, temp, server); var client = proxy.client()) {
             until(proxy, "readyz\n", "SUCCESS");
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(200);
             assertThat(proxy.call("exclude s0\r\n")).startsWith("SUCCESS");
@@ -51,7 +51,7 @@
     @ValueSource(strings = {"\n", "reboot\n", "READYZ\n", "readyz now\n", "exclude\n", "exclude s0 s0\n", "exclude nobody\n",
         "include nobody\n", "include\n", "exclude s0\0\n", "exclude \u00ff\u00fe\n", "telemetry\n"})
     void saysNoToWhatItCantDoAndChangesNothing(String call) throws Exception {
-        try (var backend = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, backend)) {
+        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
             assertThat(proxy.call(call)).matches("FAILURE [^\n]+\n");
             assertThat(proxy.call("exclude " + "x".repeat(Exclusions.LONGEST_ID + 1) + "\n")).startsWith("FAILURE");
             assertThat(proxy.call("exclude " + "x".repeat(5_000) + "\n")).startsWith("FAILURE");
@@ -63,7 +63,7 @@
     /** Half a call names another tile server than the whole one would, and must not be obeyed. */
     @Test
     void halfACallIsNotCarriedOut() throws Exception {
-        try (var backend = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, backend);
+        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server);
                 var ended = proxy.door(); var silent = proxy.door(); var half = proxy.door()) {
             half.send("exclude s0");
             ended.send("exclude s0").endSending();
@@ -78,7 +78,7 @@
     @Test
     void silentCallersHoldUpNobody() throws Exception {
         var silent = new ArrayList<Wire>();
-        try (var backend = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, backend)) {
+        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
             for (int i = 0; i < 4 * OperatorEndpoint.CALLERS; i++) {
                 silent.add(proxy.door());
             }
@@ -94,7 +94,7 @@
     /** One call back undoes any number of calls out, and the module is told of each change once. */
     @Test
     void tellsTheModuleOnceAndKeepsItOnFile() throws Exception {
-        try (var backend = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, backend)) {
+        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
             try (var files = Files.list(temp.resolve("excluded"))) {
@@ -110,10 +110,10 @@
     /** Two processes serve as one at an upgrade: whichever is called, both obey; and one that starts obeys at once. */
     @Test
     void aCallToOneProcessBindsTheOther() throws Exception {
-        try (var backend = new Peer(); var old = Fixture.operated((event, actions) -> { }, temp, backend)) {
+        try (var server = new Peer(); var old = Fixture.operated((event, actions) -> { }, temp, server)) {
             assertThat(old.call("exclude s0\n")).startsWith("SUCCESS");
             Files.createFile(temp.resolve("excluded").resolve("left by someone~"));
-            try (var proxy = Fixture.operated((event, actions) -> { }, temp, backend)) {
+            try (var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
                 assertThat(proxy.next(Excluded.class)).isEqualTo(new Excluded("s0"));
                 assertThat(proxy.call("include s0\n")).startsWith("SUCCESS");
                 assertThat(old.next(Included.class)).isEqualTo(new Included("s0"));
@@ -126,7 +126,7 @@
     @Test
     void whatCannotBeKeptIsNotPromised() throws Exception {
         Files.createFile(temp.resolve("excluded"));
-        try (var backend = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, backend)) {
+        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
             assertThat(proxy.call("exclude s0\n")).startsWith("FAILURE");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
         }
@@ -135,13 +135,13 @@
     /** As at a drain: what has gone out may end, what has not is taken back, and nothing new goes, whatever is asked. */
     @Test
     void nothingNewGoesToOneThatIsTakenOut() throws Exception {
-        try (var backend = new Peer(); var proxy = Fixture.operated((event, actions) -> {
+        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             }
-        }, temp, backend); var one = proxy.client(); var two = proxy.client()) {
+        }, temp, server); var one = proxy.client(); var two = proxy.client()) {
             one.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
             two.send(Fixture.get("r2"));
