--- /dev/null
+++ b/proxy/src/test/java/walkpost/proxy/AcceptQueueMonitorTest.java
@@ -0,0 +1,85 @@
+package walkpost.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+
+/** Tests which accepted clients count as having waited in the accept queue, on a clock and an event loop that the test controls. */
+class AcceptQueueMonitorTest {
+    private final EmbeddedChannel loop = new EmbeddedChannel();
+    private final List<Boolean> acceptingCalls = new ArrayList<>();
+    private long nowNs;
+    private final LoopBeat lagMonitor = new LoopBeat(new Clock(() -> nowNs), loop.eventLoop());
+    private final AcceptQueueMonitor acceptQueue = new AcceptQueueMonitor(lagMonitor, new Listener() {
+        @Override
+        public void accept(boolean on) {
+            acceptingCalls.add(on);
+        }
+
+        @Override
+        public void close() {
+            throw new UnsupportedOperationException();
+        }
+    });
+
+    AcceptQueueMonitorTest() {
+        loop.freezeTime();
+        lagMonitor.start();
+    }
+
+    /** Runs the event loop for a number of turns of 1 ms; returns whether the client accepted in the last turn may have waited. */
+    private boolean runTurns(int turns, boolean acceptInEach) {
+        boolean mayHaveWaited = false;
+        for (int i = 0; i < turns; i++) {
+            nowNs += 1_000_000;
+            mayHaveWaited = acceptInEach && acceptQueue.accepted();
+            loop.advanceTimeBy(1, TimeUnit.MILLISECONDS);
+            loop.runPendingTasks();
+        }
+        return mayHaveWaited;
+    }
+
+    @Test
+    void clientsThatArriveOneByOneHaveNotWaited() {
+        for (int i = 0; i < 100; i++) {
+            runTurns(4, false);
+            assertThat(runTurns(1, true)).as("client %d", i).isFalse();
+        }
+    }
+
+    @Test
+    void afterAPauseClientsHaveWaitedUntilTheQueueIsEmpty() {
+        assertThat(acceptQueue.accepted()).isFalse();
+        acceptQueue.accept(false);
+        runTurns(1, false);
+        acceptQueue.accept(true);
+        assertThat(acceptingCalls).containsExactly(false, true);
+        assertThat(runTurns(1, true)).isTrue();
+        assertThat(runTurns(40, true)).isTrue();
+        runTurns(3, false);
+        assertThat(runTurns(1, true)).isFalse();
+    }
+
+    /** The loop accepts one client per turn, so the last of a burst have waited for long. */
+    @Test
+    void aClientQueuedBehindManyHasWaited() {
+        assertThat(runTurns(1, true)).isFalse();
+        assertThat(runTurns(19, true)).isFalse();
+        assertThat(runTurns(5, true)).isTrue();
+        runTurns(3, false);
+        assertThat(runTurns(1, true)).isFalse();
+    }
+
+    /** Clients that arrived during a lag of the event loop are still being accepted after the lag itself is over. */
+    @Test
+    void aClientThatArrivedWhileTheLoopLaggedHasWaited() {
+        runTurns(1, true);
+        nowNs += 100_000_000;
+        assertThat(acceptQueue.accepted()).isTrue();
+        assertThat(runTurns(15, true)).isTrue();
+    }
+}
--- a/proxy/src/test/java/walkpost/proxy/BodyRelayTest.java
+++ b/proxy/src/test/java/walkpost/proxy/BodyRelayTest.java
@@ -11,18 +11,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** However slow the one side is, what is held for it stays little, and nothing of it is left behind. */
+/** Guards against a relay that buffers without limit for a slow sink, or leaks buffers. */
 class BodyRelayTest {
-    private static final int PIECE = 10_000;
+    private static final int PIECE_BYTES = 10_000;
 
     private final Buffers buffers = new Buffers(1_000_000);
-    private final List<ByteBuf> made = new ArrayList<>();
+    private final List<ByteBuf> createdPieces = new ArrayList<>();
     private final Source source = new Source();
     private final Sink sink = new Sink();
 
     private static final class Source implements BodyRelay.Source {
         private boolean reading = true;
-        private int unwanted;
+        private int cancellations;
 
         @Override
         public void reading(boolean on) {
@@ -31,31 +31,31 @@
 
         @Override
         public void unwanted() {
-            unwanted++;
+            cancellations++;
         }
     }
 
     private static final class Sink implements BodyRelay.Sink {
-        private int room;
-        private int bytes;
-        private int ends;
-        private int breaks;
+        private int roomBytes;
+        private int receivedBytes;
+        private int completions;
+        private int aborts;
 
-        /** There is none: what would be asked of it is answered here. */
+        /** Must not be called, because this sink overrides the methods that use the channel. */
         @Override
         public Channel channel() {
-            throw new AssertionError("no connection is wanted");
+            throw new AssertionError("the sink has no channel");
         }
 
         @Override
         public boolean ready() {
-            return room > 0;
+            return roomBytes > 0;
         }
 
         @Override
         public void data(ByteBuf data) {
-            room -= data.readableBytes();
-            bytes += data.readableBytes();
+            roomBytes -= data.readableBytes();
+            receivedBytes += data.readableBytes();
             data.release();
         }
 
@@ -64,54 +64,54 @@
 
         @Override
         public void end(HttpHeaders trailers) {
-            ends++;
+            completions++;
         }
 
         @Override
         public void broken() {
-            breaks++;
+            aborts++;
         }
     }
 
     private ByteBuf piece() {
-        ByteBuf piece = Unpooled.wrappedBuffer(new byte[PIECE]);
-        made.add(piece);
+        ByteBuf piece = Unpooled.wrappedBuffer(new byte[PIECE_BYTES]);
+        createdPieces.add(piece);
         return piece;
     }
 
-    private BodyRelay relay() {
-        buffers.hold(PIECE);
+    private BodyRelay newRelay() {
+        buffers.hold(PIECE_BYTES);
         return new BodyRelay(piece(), source, buffers);
     }
 
-    private void nothingIsLeft() {
+    private void assertNothingIsBuffered() {
         assertThat(buffers.held()).isZero();
-        assertThat(made).allMatch(piece -> piece.refCnt() == 0);
+        assertThat(createdPieces).allMatch(piece -> piece.refCnt() == 0);
     }
 
     @Test
-    void hasTheSourceWaitForTheSink() {
-        BodyRelay relay = relay();
+    void pausesTheSourceWhileTheSinkIsFull() {
+        BodyRelay relay = newRelay();
         relay.to(sink);
         int pieces = 0;
         while (source.reading) {
             relay.add(piece());
             pieces++;
         }
-        assertThat(pieces * PIECE).isBetween(32 * 1024, 64 * 1024);
-        sink.room = Integer.MAX_VALUE;
+        assertThat(pieces * PIECE_BYTES).isBetween(32 * 1024, 64 * 1024);
+        sink.roomBytes = Integer.MAX_VALUE;
         relay.flow();
         assertThat(source.reading).isTrue();
         relay.end(EmptyHttpHeaders.INSTANCE);
-        assertThat(sink.bytes).isEqualTo((pieces + 1) * PIECE);
-        assertThat(sink.ends).isOne();
-        nothingIsLeft();
+        assertThat(sink.receivedBytes).isEqualTo((pieces + 1) * PIECE_BYTES);
+        assertThat(sink.completions).isOne();
+        assertNothingIsBuffered();
     }
 
-    /** Where the process holds much already, each holds next to nothing. */
+    /** Once all relays together have reached the limit of the process, each of them pauses its source. */
     @Test
-    void holdsNothingBeyondWhatAllMayHold() {
-        BodyRelay relay = relay();
+    void pausesTheSourceWhileTheBufferBudgetIsExhausted() {
+        BodyRelay relay = newRelay();
         relay.to(sink);
         relay.add(piece());
         assertThat(source.reading).isTrue();
@@ -120,50 +120,50 @@
         assertThat(source.reading).isFalse();
         relay.cancel();
         buffers.letGo(1_000_000);
-        nothingIsLeft();
+        assertNothingIsBuffered();
     }
 
     @Test
-    void beginsAnewForAnotherSinkAsLongAsNothingIsLost() {
-        BodyRelay relay = relay();
-        sink.room = 1;
+    void startsOverWithAnotherSinkIfNoBytesAreLost() {
+        BodyRelay relay = newRelay();
+        sink.roomBytes = 1;
         relay.to(sink);
         relay.add(piece());
         relay.detach();
         assertThat(relay.fresh()).isTrue();
         var other = new Sink();
-        other.room = Integer.MAX_VALUE;
+        other.roomBytes = Integer.MAX_VALUE;
         relay.to(other);
         relay.end(EmptyHttpHeaders.INSTANCE);
-        assertThat(other.bytes).isEqualTo(2 * PIECE);
-        assertThat(other.ends).isOne();
-        assertThat(sink.ends + sink.breaks).isZero();
-        nothingIsLeft();
+        assertThat(other.receivedBytes).isEqualTo(2 * PIECE_BYTES);
+        assertThat(other.completions).isOne();
+        assertThat(sink.completions + sink.aborts).isZero();
+        assertNothingIsBuffered();
     }
 
     @Test
-    void isUnwantedOnceTheSinkGoesWithAPartOfIt() {
-        BodyRelay relay = relay();
-        sink.room = Integer.MAX_VALUE;
+    void isCancelledIfTheSinkIsDetachedAfterItConsumedBytes() {
+        BodyRelay relay = newRelay();
+        sink.roomBytes = Integer.MAX_VALUE;
         relay.to(sink);
         relay.add(piece());
         relay.detach();
         assertThat(relay.fresh()).isFalse();
-        assertThat(source.unwanted).isOne();
+        assertThat(source.cancellations).isOne();
         relay.add(piece());
-        nothingIsLeft();
+        assertNothingIsBuffered();
     }
 
     @Test
-    void tellsTheSinkOnceThatTheRestWillNotCome() {
-        BodyRelay relay = relay();
+    void notifiesTheSinkOnceOfAnAbort() {
+        BodyRelay relay = newRelay();
         relay.to(sink);
         relay.add(piece());
         relay.breakOff();
         relay.breakOff();
         relay.cancel();
-        assertThat(sink.breaks).isOne();
-        assertThat(source.unwanted).isZero();
-        nothingIsLeft();
+        assertThat(sink.aborts).isOne();
+        assertThat(source.cancellations).isZero();
+        assertNothingIsBuffered();
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/CrossingsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ConnectionRaceTest.java
@@ -18,24 +18,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two things that happen at once on a connection to a server; each test forces them to meet. */
-class CrossingsTest {
-    private static final String ENDLESS = "HTTP/1.1 200 OK\r\n\r\n";
-    private static final String LONG = ENDLESS + "0123456789abcdef".repeat(8_000);
+/** Tests races on a connection to a server; each test forces two events to coincide. */
+class ConnectionRaceTest {
+    private static final String HEAD_WITHOUT_LENGTH = "HTTP/1.1 200 OK\r\n\r\n";
+    private static final String LONG_RESPONSE = HEAD_WITHOUT_LENGTH + "0123456789abcdef".repeat(8_000);
 
-    private static void reset(Wire wire) throws IOException {
-        wire.socket.setSoLinger(true, 0);
-        wire.close();
+    private static void reset(Wire connection) throws IOException {
+        connection.socket.setSoLinger(true, 0);
+        connection.close();
     }
 
-    /** Only an end that the server has sent is one. */
+    /** A response without a length is complete only if the server has closed its side in an orderly way. */
     @Test
-    void aResetIsNoEndOfALongAnswer() throws Exception {
+    void aResetDoesNotCompleteALongResponse() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
             attempt.read();
-            attempt.send(LONG);
+            attempt.send(LONG_RESPONSE);
             proxy.next(StreamStarted.class);
             reset(attempt);
             assertThatThrownBy(client::readChunked).isInstanceOf(IOException.class);
@@ -44,34 +44,34 @@
     }
 
     @Test
-    void aResetIsNoEndOfAShortAnswer() throws Exception {
+    void aResetDoesNotCompleteAShortResponse() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
             attempt.read();
-            attempt.send(ENDLESS + "ma");
+            attempt.send(HEAD_WITHOUT_LENGTH + "ma");
             reset(attempt);
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
         }
     }
 
-    /** This side closes an answer that says nothing more; the client must not take what it has for the whole. */
+    /** The proxy closes a connection on which a response has stalled; the client must not take the part it has for the whole. */
     @Test
-    void theCloseOfASilentAnswerIsNoEndOfIt() throws Exception {
+    void theIdleTimeoutDoesNotCompleteAResponse() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 1_024, 500_000, server);
                 var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
             attempt.read();
-            attempt.send(LONG);
+            attempt.send(LONG_RESPONSE);
             assertThatThrownBy(client::readChunked).isInstanceOf(IOException.class);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
         }
     }
 
     @Test
-    void theCancelOfAnAnswerIsNoEndOfIt() throws Exception {
+    void aCancellationDoesNotCompleteAResponse() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof StreamStarted s) {
                 actions.accept(new Cancel(s.id(), s.attempt()));
@@ -82,30 +82,30 @@
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
             attempt.read();
-            attempt.send(LONG);
+            attempt.send(LONG_RESPONSE);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.CANCELLED);
             assertThatThrownBy(client::readChunked).isInstanceOf(IOException.class);
         }
     }
 
     @Test
-    void aTimeOutIsNoEndOfAShortAnswer() throws Exception {
+    void aTimeoutDoesNotCompleteAShortResponse() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0", 50_000), server);
                 var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
             attempt.read();
-            attempt.send(ENDLESS + "ma");
+            attempt.send(HEAD_WITHOUT_LENGTH + "ma");
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.TIMEOUT);
         }
     }
 
-    /** An answer comes, and the end of the connection with it, while another request waits to take the connection. */
+    /** A response arrives together with the close of its connection, while another request is about to use that connection. */
     @Test
-    void aConnectionThatEndsWithItsAnswerIsNotTakenForTheNext() throws Exception {
+    void aConnectionThatClosesWithItsResponseIsNotReused() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
-            // The second is sent within the very read of the first's answer.
+            // The second request is sent during the read that brings the first one's response.
             if (event instanceof Arrival a && a.id().equals("r1") || event instanceof AttemptEnded e && e.id().equals("r1")) {
                 actions.accept(new Send(event instanceof Arrival ? "r1" : "r2", "s0", 0));
             }
@@ -116,7 +116,7 @@
             proxy.next(Arrival.class);
             two.send(Fixture.get("r2"));
             proxy.next(Arrival.class);
-            first.send(ENDLESS + "one").endSending();
+            first.send(HEAD_WITHOUT_LENGTH + "one").endSending();
             assertThat(one.read().body()).isEqualTo("one");
             Wire second = server.accept();
             assertThat(second.read().header("X-Request-ID")).isEqualTo("r2");
@@ -127,8 +127,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nConte", "HTTP/1.1 103 Early Hints\r\n\r\n", "\r\n"})
-    void whateverComesOnARestingConnectionEndsIt(String late) throws Exception {
-        // The idle timer is slower than the test's patience: it is not what ends the connection.
+    void inputOnAnIdleConnectionClosesIt(String input) throws Exception {
+        // The idle timeout is longer than the test's socket timeout, so it is not what closes the connection.
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 1_024, 60_000_000, server);
                 var client = proxy.client()) {
             client.send(Fixture.get("r1"));
@@ -136,19 +136,19 @@
             attempt.read();
             attempt.send(Peer.ok("one"));
             assertThat(client.read().body()).isEqualTo("one");
-            attempt.send(late);
+            attempt.send(input);
             assertThat(attempt.ended()).isTrue();
         }
     }
 
-    /** What the loop has not come to yet when it takes the connection: it is held up until that has been sent. */
+    /** The event loop has not read the input when it chooses a connection: the test blocks the loop until the input is sent. */
     @ParameterizedTest
     @CsvSource({"second", "half", "end", "reset"})
-    void aRestingConnectionOnWhichSomethingWaitsIsNotTaken(String what) throws Exception {
-        var sent = new CountDownLatch(1);
+    void anIdleConnectionWithUnreadInputIsNotReused(String unreadInput) throws Exception {
+        var inputSent = new CountDownLatch(1);
         try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("r2")) {
-                await(sent);
+                await(inputSent);
             }
             Fixture.sendTo("s0").handle(event, actions);
         }, server); var client = proxy.client()) {
@@ -160,13 +160,13 @@
             proxy.next(Arrival.class);
             client.send(Fixture.get("r2"));
             proxy.next(Arrival.class);
-            switch (what) {
+            switch (unreadInput) {
                 case "second" -> first.send(Peer.ok("one"));
                 case "half" -> first.send("HTTP/1.1 200 OK\r\nContent-Le");
                 case "end" -> first.endSending();
                 default -> reset(first);
             }
-            sent.countDown();
+            inputSent.countDown();
             Wire second = server.accept();
             assertThat(second.read().header("X-Request-ID")).isEqualTo("r2");
             second.send(Peer.ok("two"));
@@ -177,20 +177,20 @@
     private static void await(CountDownLatch latch) {
         try {
             if (!latch.await(10, TimeUnit.SECONDS)) {
-                throw new AssertionError("nothing was sent");
+                throw new AssertionError("the input was not sent within 10 s");
             }
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** A server begins with a request once it has it whole: what comes before that is no answer to it, and it never ran. */
+    /** Servers start a request when it is complete, so a response before that cannot be the response to it, and the request never ran. */
     @ParameterizedTest
     @CsvSource({"'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade',CONNECT_FAILED",
         "'HTTP/1.1 500 Error\r\nContent-Length: 4\r\n\r\nmade',CONNECT_FAILED",
         "'HTTP/1.1 200 OK\r\nno colon here\r\n\r\n',CONNECT_FAILED",
         "'HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n',FULL"})
-    void anAnswerBeforeTheRequestIsWholeIsNoneToIt(String early, Outcome outcome) throws Exception {
+    void aResponseBeforeTheRequestIsCompleteIsNotTheResponseToIt(String early, Outcome outcome) throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.post("r1", "x".repeat(200_000)).substring(0, 150_000));
             Wire attempt = server.accept();
@@ -201,26 +201,26 @@
         }
     }
 
-    /** Each may have run, is told as failed, and its connection is not used again. */
+    /** The request may have run, so it fails without a retry, and its connection is not reused. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmade\r\n0\r\n\r\n",
         "Content-Length: -4\r\n\r\nmade", "Content-Length: 4x\r\n\r\nmade", "Content-Length: 4, 5\r\n\r\nmade",
         "Transfer-Encoding: chunked\r\n\r\n-4\r\nmade\r\n0\r\n\r\n", ": nameless\r\nContent-Length: 4\r\n\r\nmade"})
-    void aSpoiltAnswerIsAnError(String spoilt) throws Exception {
+    void aMalformedResponseIsAnError(String malformed) throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
             attempt.read();
-            attempt.send("HTTP/1.1 200 OK\r\n" + spoilt);
+            attempt.send("HTTP/1.1 200 OK\r\n" + malformed);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(attempt.ended()).isTrue();
         }
     }
 
-    /** The first part of it is with the client by then. */
+    /** The client has received the start of the response when the rest turns out to be malformed. */
     @Test
-    void aLongAnswerThatIsSpoiltOnTheWayIsBrokenForTheClient() throws Exception {
+    void aLongResponseThatBecomesMalformedIsAbortedForTheClient() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
@@ -234,13 +234,13 @@
         }
     }
 
-    /** Connections to the process before are dead, or will be reset under the request that takes them. */
+    /** Connections to a server's earlier process are dead, or will be reset while a request uses them. */
     @Test
-    void aNewStartEndsWhatRests() throws Exception {
-        var asked = new boolean[1];
+    void aRestartOfTheServerClosesItsIdleConnections() throws Exception {
+        var watchStarted = new boolean[1];
         try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
-            if (!asked[0]) {
-                asked[0] = true;
+            if (!watchStarted[0]) {
+                watchStarted[0] = true;
                 actions.accept(new Watch(true));
             }
             Fixture.sendTo("s0").handle(event, actions);
@@ -250,10 +250,10 @@
             attempt.read();
             attempt.send(Peer.ok("one"));
             assertThat(client.read().body()).isEqualTo("one");
-            String again = Fixture.entry("s0", server.address(), "ready").replace("\"started_ms\":7", "\"started_ms\":8");
+            String restarted = Fixture.entry("s0", server.address(), "ready").replace("\"started_ms\":7", "\"started_ms\":8");
             Wire watch = proxy.discovery.accept();
             watch.read();
-            watch.send(Peer.ok(Fixture.list(42, false, again)));
+            watch.send(Peer.ok(Fixture.list(42, false, restarted)));
             assertThat(attempt.ended()).isTrue();
         }
     }
--- a/proxy/src/test/java/walkpost/proxy/ExclusionsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ExclusionStoreTest.java
@@ -12,35 +12,35 @@
 import org.junit.jupiter.api.io.TempDir;
 import walkpost.Balancer;
 
-/** The folder of exclusions, which may not be readable for a moment. */
-class ExclusionsTest {
+/** Guards against exclusions being lost while their directory cannot be read. */
+class ExclusionStoreTest {
     @TempDir
-    private Path dir;
+    private Path tempDirectory;
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<Balancer.Event> events = new ArrayList<>();
 
-    private void look() {
+    private void waitForScan() {
         channel.advanceTimeBy(200, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
 
     @Test
-    void aFolderThatCannotBeReadGivesNobodyBack() throws Exception {
+    void anUnreadableDirectoryEndsNoExclusion() throws Exception {
         channel.freezeTime();
-        Path folder = dir.resolve("excluded");
+        Path directory = tempDirectory.resolve("excluded");
         var backends = new Backends(new Clock(), channel.eventLoop(), EmbeddedChannel::new, new Sockets(256), new Buffers(1 << 20), 1, 1);
         var proxy = new Proxy(new Clock(), channel.eventLoop(), (now, event, actions) -> events.add(event), backends);
-        var exclusions = new Exclusions(channel.eventLoop(), new TakenOut(proxy), folder, "operators");
+        var exclusions = new Exclusions(channel.eventLoop(), new TakenOut(proxy), directory, "operators");
         exclusions.start();
         exclusions.obey("s0", true);
-        Path aside = Files.move(folder, dir.resolve("aside"));
-        // Whoever follows a link to itself gets ELOOP, and not that there is nothing.
-        Files.createSymbolicLink(folder, folder);
-        look();
+        Path movedAway = Files.move(directory, tempDirectory.resolve("aside"));
+        // Opening a symbolic link to itself fails with ELOOP, which does not mean that the directory is missing.
+        Files.createSymbolicLink(directory, directory);
+        waitForScan();
         assertThat(exclusions.standing()).containsExactly("s0");
-        Files.delete(folder);
-        Files.move(aside, folder);
-        look();
+        Files.delete(directory);
+        Files.move(movedAway, directory);
+        waitForScan();
         assertThat(exclusions.standing()).containsExactly("s0");
         assertThat(events).containsExactly(new Balancer.Excluded("s0"));
         channel.finishAndReleaseAll();
--- a/proxy/src/test/java/walkpost/proxy/FrontendTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FrontendTest.java
@@ -13,26 +13,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The clients' side on loopback sockets. */
+/** Tests the client side of the proxy on loopback sockets. */
 class FrontendTest {
-    private static final Fixture.Module SILENT = (event, actions) -> { };
+    private static final Fixture.Module INACTIVE = (event, actions) -> { };
 
     @Test
-    void passesRequestAndAnswerOnUnchanged() throws Exception {
+    void forwardsRequestAndResponseUnchanged() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             BlockingQueue<Wire.Message> seen = server.always(Peer.answer("200 OK", "an\r\n\r\nswer", "Content-Type: a/b",
                     "Connection: X-Hop", "X-Hop: 1"));
-            Wire.Message answer = client.send(Fixture.post("r1", "bo\r\n\0dy")).read();
+            Wire.Message response = client.send(Fixture.post("r1", "bo\r\n\0dy")).read();
             Wire.Message request = Peer.next(seen);
             assertThat(request.first()).isEqualTo("POST /api?k=u%201&x HTTP/1.1");
             assertThat(request.body()).isEqualTo("bo\r\n\0dy");
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
             assertThat(request.header("Idempotency-Key")).isEqualTo("5c0f");
             assertThat(request.header("X-Timeout")).matches("1[0-9]{6}u");
-            assertThat(answer.status()).isEqualTo(200);
-            assertThat(answer.body()).isEqualTo("an\r\n\r\nswer");
-            assertThat(answer.header("Content-Type")).isEqualTo("a/b");
-            assertThat(answer.header("X-Hop")).isNull();
+            assertThat(response.status()).isEqualTo(200);
+            assertThat(response.body()).isEqualTo("an\r\n\r\nswer");
+            assertThat(response.header("Content-Type")).isEqualTo("a/b");
+            assertThat(response.header("X-Hop")).isNull();
             Arrival arrival = proxy.next(Arrival.class);
             assertThat(arrival.requestClass()).isEqualTo("pay");
             assertThat(arrival.tenant()).isEqualTo("acme");
@@ -43,17 +43,17 @@
         }
     }
 
-    /** A guess at the cost that makes no sense is no reason to turn a request away. */
+    /** The cost estimate is optional, so a malformed one counts as absent and does not reject the request. */
     @ParameterizedTest
     @CsvSource({"X-Cost: 18500,18500", "X-Cost: -3,0", "X-Cost: much,0", "X-Cost: 99999999999,0", "X-Other: 1,0"})
-    void tellsTheModuleTheGuessAtTheCost(String header, long costUs) throws Exception {
-        try (var proxy = new Fixture(SILENT); var client = proxy.client()) {
+    void passesTheCostEstimateToTheModule(String header, long costUs) throws Exception {
+        try (var proxy = new Fixture(INACTIVE); var client = proxy.client()) {
             client.send(Fixture.get("r1").replace("X-Tenant-Id", header + "\r\nX-Tenant-Id"));
             assertThat(proxy.next(Arrival.class).costUs()).isEqualTo(costUs);
         }
     }
 
-    /** Whatever is wrong with a request, it costs neither a server nor the module anything. */
+    /** An invalid request reaches neither a server nor the module. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "X-Priority-Class: read|X-Priority-Class: write|400",
@@ -78,9 +78,9 @@
         "GET /api?k=u1|PUT /api|405",
         "GET /api?k=u1 HTTP/1.1|GET /api?k=u1 HTTP/2.7|400",
         "GET /api?k=u1 HTTP/1.1|NONSENSE|400"})
-    void turnsBadRequestsAway(String good, String bad, int status) throws Exception {
+    void rejectsInvalidRequests(String valid, String invalid, int status) throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            assertThat(client.send(Fixture.get("r1").replace(good, bad)).read().status()).isEqualTo(status);
+            assertThat(client.send(Fixture.get("r1").replace(valid, invalid)).read().status()).isEqualTo(status);
             server.always(Peer.ok("x"));
             assertThat(proxy.client().send(Fixture.get("good")).read().status()).isEqualTo(200);
             assertThat(proxy.next(Arrival.class).id()).isEqualTo("good");
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aPathThatIsNoSingleLineIsNotPassedOn() throws Exception {
+    void aPathWithControlCharactersIsNotForwarded() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
             for (String bad : List.of("/api?k=a\rb", "/api?k=a\0b", "/api?k=a\u007fb")) {
                 try (var client = proxy.client()) {
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void passesTheLongestBodies() throws Exception {
+    void forwardsTheLongestBodiesThatAreCollected() throws Exception {
         String body = "0123456789abcdef".repeat(4_096);
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             BlockingQueue<Wire.Message> seen = server.always(Peer.ok(body));
@@ -110,20 +110,20 @@
     }
 
     @Test
-    void aKeyedRequestNeedsItsKey() throws Exception {
-        try (var proxy = new Fixture(SILENT); var client = proxy.client()) {
+    void aDeduplicatedRequestNeedsItsIdempotencyKey() throws Exception {
+        try (var proxy = new Fixture(INACTIVE); var client = proxy.client()) {
             assertThat(client.send(Fixture.post("r1", "x").replace("Idempotency-Key", "X-Other")).read().status()).isEqualTo(400);
         }
     }
 
-    /** Rule 1 counts from when the client sent: while the proxy is held up, what waits to be read grows old. */
+    /** The deadline counts from when the client sent the request, also while that waits unread because the event loop lags. */
     @Test
-    void patienceRunsOnWhileTheProxyIsHeldUp() throws Exception {
-        var goOn = new CountDownLatch(1);
+    void theDeadlineCountsWhileTheEventLoopLags() throws Exception {
+        var resume = new CountDownLatch(1);
         try (var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("r1")) {
                 try {
-                    goOn.await();
+                    resume.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -137,15 +137,15 @@
             while (System.nanoTime() - sent < 400_000_000) {
                 Thread.sleep(10);
             }
-            goOn.countDown();
+            resume.countDown();
             assertThat(proxy.next(Arrival.class).leftUs()).isLessThan(1_500_000);
         }
     }
 
-    /** Neither a silent peer nor one that sends a byte now and then keeps a socket from those who ask. */
+    /** Neither a silent client nor one that sends a byte now and then may keep a socket that other clients need. */
     @Test
-    void aRequestThatDoesNotEndIsAnsweredOrHungUpOn() throws Exception {
-        try (var proxy = new Fixture(SILENT); var silent = proxy.client(); var slow = proxy.client();
+    void anIncompleteRequestTimesOut() throws Exception {
+        try (var proxy = new Fixture(INACTIVE); var silent = proxy.client(); var slow = proxy.client();
                 var second = proxy.client()) {
             assertThat(second.send("GET /other HTTP/1.1\r\n\r\n").read().status()).isEqualTo(404);
             second.send("GET /api HTTP/1.1\r\nHost:");
@@ -160,9 +160,9 @@
         }
     }
 
-    /** What comes behind a request that is being served must neither overtake its answer nor cost it. */
+    /** Invalid input behind a request that is being served must neither overtake the response to it nor prevent it. */
     @Test
-    void rubbishBehindARequestIsAnsweredAfterIt() throws Exception {
+    void invalidInputBehindARequestIsAnsweredAfterIt() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1") + "RUBBISH\r\n\r\n" + Fixture.get("r2"));
             Wire attempt = server.accept();
@@ -175,8 +175,8 @@
     }
 
     @Test
-    void tellsTheModuleThatAClientIsGone() throws Exception {
-        try (var proxy = new Fixture(SILENT)) {
+    void notifiesTheModuleThatAClientHasGone() throws Exception {
+        try (var proxy = new Fixture(INACTIVE)) {
             try (var client = proxy.client()) {
                 client.send(Fixture.get("r1"));
                 assertThat(proxy.next(Arrival.class).id()).isEqualTo("r1");
@@ -186,22 +186,22 @@
     }
 
     @Test
-    void aRefusalTellsWhenToComeBack() throws Exception {
+    void aRefusalCarriesRetryAfter() throws Exception {
         try (var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Refuse(a.id(), a.id().equals("r1") ? 250_000 : 0));
             }
         }); var client = proxy.client()) {
-            Wire.Message answer = client.send(Fixture.get("r1")).read();
-            assertThat(answer.status()).isEqualTo(503);
-            assertThat(answer.header("Retry-After")).isEqualTo("0.250");
-            answer = client.send(Fixture.get("r2")).read();
-            assertThat(answer.status()).isEqualTo(503);
-            assertThat(answer.header("Retry-After")).isNull();
+            Wire.Message response = client.send(Fixture.get("r1")).read();
+            assertThat(response.status()).isEqualTo(503);
+            assertThat(response.header("Retry-After")).isEqualTo("0.250");
+            response = client.send(Fixture.get("r2")).read();
+            assertThat(response.status()).isEqualTo(503);
+            assertThat(response.header("Retry-After")).isNull();
         }
     }
 
-    /** One answer for each request, in their order, also where a client sends ahead; and only the first answer counts. */
+    /** Each pipelined request gets one response, in order; a second decision of the module about a request is ignored. */
     @Test
     void answersInOrderAndOnce() throws Exception {
         try (var proxy = new Fixture((event, actions) -> {
@@ -218,8 +218,8 @@
     }
 
     @Test
-    void anIdThatIsBeingServedIsNotTakenTwice() throws Exception {
-        try (var proxy = new Fixture(SILENT); var one = proxy.client(); var two = proxy.client()) {
+    void aRequestWithTheIdOfOneInProgressIsRejected() throws Exception {
+        try (var proxy = new Fixture(INACTIVE); var one = proxy.client(); var two = proxy.client()) {
             one.send(Fixture.get("r1"));
             proxy.next(Arrival.class);
             assertThat(two.send(Fixture.get("r1")).read().status()).isEqualTo(409);
@@ -227,11 +227,11 @@
     }
 
     @Test
-    void closesWhereTheClientAsksForIt() throws Exception {
-        try (var proxy = new Fixture(SILENT); var client = proxy.client()) {
-            Wire.Message answer = client.send("GET /other HTTP/1.1\r\nConnection: close\r\n\r\n").read();
-            assertThat(answer.status()).isEqualTo(404);
-            assertThat(answer.header("Connection")).isEqualTo("close");
+    void closesTheConnectionIfTheClientAsksForIt() throws Exception {
+        try (var proxy = new Fixture(INACTIVE); var client = proxy.client()) {
+            Wire.Message response = client.send("GET /other HTTP/1.1\r\nConnection: close\r\n\r\n").read();
+            assertThat(response.status()).isEqualTo(404);
+            assertThat(response.header("Connection")).isEqualTo("close");
             assertThat(client.ended()).isTrue();
         }
     }
--- a/proxy/src/test/java/walkpost/proxy/ClosingTest.java
+++ b/proxy/src/test/java/walkpost/proxy/LingeringCloseTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How connections end, and what may cross it. */
-class ClosingTest {
-    /** A close over unread bytes is a reset, and takes along what of the answer has not reached the client. */
+/** Tests how clients' connections are closed, and what happens to bytes that cross the close. */
+class LingeringCloseTest {
+    /** Closing a socket with unread input sends a reset, which destroys the part of the response that has not reached the client. */
     @Test
-    void bytesThatCrossTheCloseCostNoAnswer() throws Exception {
+    void inputThatCrossesTheCloseDoesNotDestroyTheResponse() throws Exception {
         String body = "0123456789".repeat(6_000);
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var socket = new Socket()) {
-            // So little that most of the answer waits on the proxy's side.
+            // A small buffer, so that most of the response waits on the proxy's side.
             socket.setReceiveBufferSize(4_096);
             socket.connect(proxy.address);
             var client = new Wire(socket);
@@ -42,9 +42,9 @@
         }
     }
 
-    /** Bytes that come in the meantime would keep a client that takes nothing from counting as silent, for ever. */
+    /** Input would keep a client that does not read its response from ever counting as idle. */
     @Test
-    void nothingIsReadUntilTheLastAnswerIsTaken() {
+    void pausesReadingUntilTheLastResponseIsWritten() {
         var writes = new ArrayList<ChannelPromise>();
         var channel = new EmbeddedChannel(new ChannelOutboundHandlerAdapter() {
             @Override
@@ -70,86 +70,86 @@
         assertThat(channel.isOpen()).isFalse();
     }
 
-    /** Whoever is given up for others may be sending just then: it sees an end, no reset, and none of it is served. */
+    /** A client whose idle connection is closed to make room may be sending a request just then: it gets an orderly close, not a reset. */
     @Test
-    void aRequestThatCrossesTheEndOfAnIdleConnectionIsNotServed() throws Exception {
-        var crowd = new ArrayList<Wire>();
+    void aRequestThatCrossesTheCloseOfAnIdleConnectionIsNotServed() throws Exception {
+        var clients = new ArrayList<Wire>();
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
             server.always(Peer.ok("x"));
             for (int i = 0; i < 21; i++) {
-                crowd.add(proxy.client());
-                assertThat(crowd.get(i).send(Fixture.get("r" + i)).read().status()).isEqualTo(200);
+                clients.add(proxy.client());
+                assertThat(clients.get(i).send(Fixture.get("r" + i)).read().status()).isEqualTo(200);
             }
-            Wire first = crowd.get(0);
+            Wire first = clients.get(0);
             assertThat(first.rest()).isEmpty();
             first.send(Fixture.get("late")).send(Fixture.get("later"));
-            assertThat(crowd.get(20).send(Fixture.get("last")).read().status()).isEqualTo(200);
+            assertThat(clients.get(20).send(Fixture.get("last")).read().status()).isEqualTo(200);
             assertThat(proxy.events).noneMatch(e -> e instanceof Arrival a && a.id().startsWith("late"));
         } finally {
-            for (Wire client : crowd) {
+            for (Wire client : clients) {
                 client.close();
             }
         }
     }
 
-    /** Those who came and said nothing make room for who does, one for one, and the others stay. */
+    /** At the limit of connections, one silent client is closed for each new client, and the others stay connected. */
     @Test
-    void aSilentCrowdMakesRoomForAClient() throws Exception {
-        var crowd = new ArrayList<Wire>();
+    void silentClientsMakeRoomForANewClient() throws Exception {
+        var clients = new ArrayList<Wire>();
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
             server.always(Peer.ok("x"));
             for (int i = 0; i < 20; i++) {
-                crowd.add(proxy.client());
+                clients.add(proxy.client());
             }
             try (var client = proxy.client()) {
                 assertThat(client.send(Fixture.get("r1")).read().status()).isEqualTo(200);
-                assertThat(crowd.get(19).send(Fixture.get("r2")).read().status()).isEqualTo(200);
-                assertThat(crowd.get(0).ended()).isTrue();
+                assertThat(clients.get(19).send(Fixture.get("r2")).read().status()).isEqualTo(200);
+                assertThat(clients.get(0).ended()).isTrue();
             }
         } finally {
-            for (Wire client : crowd) {
+            for (Wire client : clients) {
                 client.close();
             }
         }
     }
 
     /**
-     * It came while nobody was accepted, and has gone by the time when it is: its end lies unread behind its request, and
-     * all that it has sent behind that, though the loop was never held up.
+     * A client connects while accepting is paused, and has gone by the time it is accepted. Its close is unread behind its request and
+     * whatever it has sent after that, although the event loop never lagged.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 100})
-    void whoeverHasGoneBeforeItIsAcceptedIsSentNowhere(int behind) throws Exception {
-        var crowd = new ArrayList<Wire>();
+    void theRequestOfAClientThatLeftBeforeItWasAcceptedIsNotSent(int pipelinedRequests) throws Exception {
+        var clients = new ArrayList<Wire>();
         try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("gone")) {
                 actions.accept(new Send(a.id(), "s0", 0));
             }
         }, 128, 15_000_000, server)) {
-            // As many as it takes in, none of which can be given up: each waits for its answer.
+            // As many clients as the proxy accepts; none can be closed to make room, because each waits for its response.
             for (int i = 0; i < 20; i++) {
-                crowd.add(proxy.client().send(Fixture.get("r" + i)));
+                clients.add(proxy.client().send(Fixture.get("r" + i)));
                 proxy.next(Arrival.class);
             }
             try (var gone = proxy.client()) {
-                gone.send(Fixture.get("gone") + Fixture.get("behind").repeat(behind));
+                gone.send(Fixture.get("gone") + Fixture.get("behind").repeat(pipelinedRequests));
             }
-            crowd.get(0).close();
+            clients.get(0).close();
             assertThat(proxy.next(Arrival.class).id()).isEqualTo("gone");
             assertThat(proxy.next(ClientGone.class).id()).isEqualTo("gone");
-            AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.outcome()).isEqualTo(Outcome.NOT_SENT);
-            assertThat(end.last()).isTrue();
+            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            assertThat(ended.outcome()).isEqualTo(Outcome.NOT_SENT);
+            assertThat(ended.last()).isTrue();
         } finally {
-            for (Wire client : crowd) {
+            for (Wire client : clients) {
                 client.close();
             }
         }
     }
 
-    /** A client that has sent ahead and gone is seen to be gone, however much stands before its end. */
+    /** The proxy keeps reading behind pipelined requests, or it would not notice that their client has gone. */
     @Test
-    void theEndBehindRequestsThatWaitIsSeen() throws Exception {
+    void theCloseBehindPipelinedRequestsIsNoticed() throws Exception {
         try (var proxy = new Fixture((event, actions) -> { })) {
             try (var client = proxy.client()) {
                 client.send(Fixture.get("r1").replace("1900m", "60000m") + Fixture.get("r2").repeat(20));
@@ -159,25 +159,25 @@
         }
     }
 
-    /** More than any client has reason to send ahead: what was taken is answered, and the rest with an error. */
+    /** The queued requests are answered, and the first one beyond the limit gets an error and ends the connection. */
     @Test
-    void aFloodIsAnsweredAsFarAsItWasTaken() throws Exception {
+    void tooManyPipelinedRequestsAreRejected() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             String other = Fixture.get("r1").replace("/api", "/other");
             String flood = Fixture.get("r0").replace("1900m", "60000m") + other.repeat(100_000);
-            // It takes more than the system does: it is being read.
+            // This is more than the socket buffers hold, so it ends only if the proxy reads it.
             CompletableFuture.runAsync(() -> send(client, flood)).get(10, TimeUnit.SECONDS);
             Wire attempt = server.accept();
             attempt.read();
             attempt.send(Peer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
-            int taken = 0;
-            Wire.Message answer = client.read();
-            for (; answer.status() == 404; answer = client.read()) {
-                taken++;
+            int queued = 0;
+            Wire.Message response = client.read();
+            for (; response.status() == 404; response = client.read()) {
+                queued++;
             }
-            assertThat(answer.status()).isEqualTo(429);
-            assertThat(taken).isBetween(10, ReadAhead.MOST / other.length());
+            assertThat(response.status()).isEqualTo(429);
+            assertThat(queued).isBetween(10, PipelinedRequests.MAX_BYTES / other.length());
             assertThat(client.rest()).isEmpty();
         }
     }
--- a/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
+++ b/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
@@ -17,29 +17,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the operators' staff may say to a proxy, and what comes of it. */
+/** Tests the calls of the operator endpoint and their effect on the proxy. */
 class OperatorEndpointTest {
     @TempDir
     private Path temp;
 
-    private static void await(Wire door, String word) throws Exception {
-        assertThat(door.rest()).startsWith(word).endsWith("\n");
+    private static void assertAnswer(Wire caller, String firstWord) throws Exception {
+        assertThat(caller.rest()).startsWith(firstWord).endsWith("\n");
     }
 
-    private void until(Fixture proxy, String call, String word) throws Exception {
-        while (!proxy.call(call).startsWith(word)) {
+    private void callUntilAnswered(Fixture proxy, String call, String firstWord) throws Exception {
+        while (!proxy.call(call).startsWith(firstWord)) {
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void tellsWhetherItIsReadyAsItTellsClients() throws Exception {
+    void reportsTheSameReadinessAsToClients() throws Exception {
         try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> {
             if (event instanceof Arrival) {
                 actions.accept(new Watch(true));
             }
         }, temp, server); var client = proxy.client()) {
-            until(proxy, "readyz\n", "SUCCESS");
+            callUntilAnswered(proxy, "readyz\n", "SUCCESS");
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(200);
             assertThat(proxy.call("exclude s0\r\n")).startsWith("SUCCESS");
             assertThat(proxy.call("readyz\n")).startsWith("FAILURE");
@@ -50,7 +50,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"\n", "reboot\n", "READYZ\n", "readyz now\n", "exclude\n", "exclude s0 s0\n", "exclude nobody\n",
         "include nobody\n", "include\n", "exclude s0\0\n", "exclude \u00ff\u00fe\n", "telemetry\n"})
-    void saysNoToWhatItCantDoAndChangesNothing(String call) throws Exception {
+    void rejectsInvalidCallsAndChangesNothing(String call) throws Exception {
         try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
             assertThat(proxy.call(call)).matches("FAILURE [^\n]+\n");
             assertThat(proxy.call("exclude " + "x".repeat(Exclusions.LONGEST_ID + 1) + "\n")).startsWith("FAILURE");
@@ -60,26 +60,26 @@
         }
     }
 
-    /** Half a call names another tile server than the whole one would, and must not be obeyed. */
+    /** A line that is cut off could name another server than the complete one, so it must not be carried out. */
     @Test
-    void halfACallIsNotCarriedOut() throws Exception {
+    void anIncompleteLineIsNotCarriedOut() throws Exception {
         try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server);
-                var ended = proxy.door(); var silent = proxy.door(); var half = proxy.door()) {
-            half.send("exclude s0");
-            ended.send("exclude s0").endSending();
-            await(ended, "FAILURE");
-            await(silent, "FAILURE");
-            await(half, "FAILURE");
+                var halfClosed = proxy.door(); var silent = proxy.door(); var incomplete = proxy.door()) {
+            incomplete.send("exclude s0");
+            halfClosed.send("exclude s0").endSending();
+            assertAnswer(halfClosed, "FAILURE");
+            assertAnswer(silent, "FAILURE");
+            assertAnswer(incomplete, "FAILURE");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
         }
     }
 
-    /** However many callers say nothing, the next one is heard. */
+    /** Silent callers must not use up the endpoint's connections. */
     @Test
-    void silentCallersHoldUpNobody() throws Exception {
+    void silentCallersDoNotBlockTheNextOne() throws Exception {
         var silent = new ArrayList<Wire>();
         try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
-            for (int i = 0; i < 4 * OperatorEndpoint.CALLERS; i++) {
+            for (int i = 0; i < 4 * OperatorEndpoint.MAX_CALLERS; i++) {
                 silent.add(proxy.door());
             }
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
@@ -91,9 +91,9 @@
         }
     }
 
-    /** One call back undoes any number of calls out, and the module is told of each change once. */
+    /** One include undoes any number of excludes, and the module is notified of each change once. */
     @Test
-    void tellsTheModuleOnceAndKeepsItOnFile() throws Exception {
+    void notifiesTheModuleOnceAndStoresTheExclusion() throws Exception {
         try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
@@ -107,24 +107,27 @@
         }
     }
 
-    /** Two processes serve as one at an upgrade: whichever is called, both obey; and one that starts obeys at once. */
+    /**
+     * During an upgrade two processes serve as one proxy: a call to either applies to both, and a process that starts applies the
+     * exclusions that exist.
+     */
     @Test
-    void aCallToOneProcessBindsTheOther() throws Exception {
-        try (var server = new Peer(); var old = Fixture.operated((event, actions) -> { }, temp, server)) {
-            assertThat(old.call("exclude s0\n")).startsWith("SUCCESS");
-            Files.createFile(temp.resolve("excluded").resolve("left by someone~"));
-            try (var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
-                assertThat(proxy.next(Excluded.class)).isEqualTo(new Excluded("s0"));
-                assertThat(proxy.call("include s0\n")).startsWith("SUCCESS");
-                assertThat(old.next(Included.class)).isEqualTo(new Included("s0"));
-                assertThat(old.call("exclude s0\n")).startsWith("SUCCESS");
-                assertThat(proxy.next(Excluded.class)).isEqualTo(new Excluded("s0"));
+    void aCallToOneProcessAppliesToTheOther() throws Exception {
+        try (var server = new Peer(); var oldProcess = Fixture.operated((event, actions) -> { }, temp, server)) {
+            assertThat(oldProcess.call("exclude s0\n")).startsWith("SUCCESS");
+            Files.createFile(temp.resolve("excluded").resolve("not an exclusion~"));
+            try (var newProcess = Fixture.operated((event, actions) -> { }, temp, server)) {
+                assertThat(newProcess.next(Excluded.class)).isEqualTo(new Excluded("s0"));
+                assertThat(newProcess.call("include s0\n")).startsWith("SUCCESS");
+                assertThat(oldProcess.next(Included.class)).isEqualTo(new Included("s0"));
+                assertThat(oldProcess.call("exclude s0\n")).startsWith("SUCCESS");
+                assertThat(newProcess.next(Excluded.class)).isEqualTo(new Excluded("s0"));
             }
         }
     }
 
     @Test
-    void whatCannotBeKeptIsNotPromised() throws Exception {
+    void anExclusionThatCannotBeStoredIsRejected() throws Exception {
         Files.createFile(temp.resolve("excluded"));
         try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
             assertThat(proxy.call("exclude s0\n")).startsWith("FAILURE");
@@ -132,9 +135,9 @@
         }
     }
 
-    /** As at a drain: what has gone out may end, what has not is taken back, and nothing new goes, whatever is asked. */
+    /** As for a draining server: a request that has been sent may finish, and the module cannot send new ones. */
     @Test
-    void nothingNewGoesToOneThatIsTakenOut() throws Exception {
+    void noNewRequestIsSentToAnExcludedServer() throws Exception {
         try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
@@ -154,23 +157,23 @@
         }
     }
 
-    /** With the module in service, and beside another that goes on: out, then back. */
+    /** Uses the real balancing module with two servers, one of which is excluded and then included again. */
     @Test
-    void servesOnWithoutTheOneThatIsOut() throws Exception {
-        try (var out = new Peer(); var in = new Peer(); var proxy = Fixture.operated(null, temp, out, in);
+    void theOtherServerServesDuringAnExclusion() throws Exception {
+        try (var excluded = new Peer(); var other = new Peer(); var proxy = Fixture.operated(null, temp, excluded, other);
                 var client = proxy.client()) {
-            out.always(Peer.ok("out"));
-            in.always(Peer.ok("in"));
+            excluded.always(Peer.ok("excluded"));
+            other.always(Peer.ok("other"));
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
             for (int i = 0; i < 20; i++) {
-                assertThat(client.send(Fixture.get("a" + i)).read().body()).isEqualTo("in");
+                assertThat(client.send(Fixture.get("a" + i)).read().body()).isEqualTo("other");
             }
             assertThat(proxy.call("include s0\n")).startsWith("SUCCESS");
             var bodies = new ArrayList<String>();
-            for (int i = 0; i < 200 && !bodies.contains("out"); i++) {
+            for (int i = 0; i < 200 && !bodies.contains("excluded"); i++) {
                 bodies.add(client.send(Fixture.get("b" + i)).read().body());
             }
-            assertThat(bodies).contains("out");
+            assertThat(bodies).contains("excluded");
         }
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/Peer.java
+++ b/proxy/src/test/java/walkpost/proxy/Peer.java
@@ -11,43 +11,47 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A backend, or discovery, played by hand: the test accepts its connections and says what goes over them. */
+/**
+ * A server, or discovery, that the test plays: the test accepts its connections and sends the responses. Its methods may be called on any
+ * thread.
+ */
 final class Peer implements Closeable {
-    private final ServerSocket server;
-    private final List<Wire> open = new ArrayList<>();
+    private final ServerSocket listener;
+    private final List<Wire> connections = new ArrayList<>();
 
     Peer() throws IOException {
-        server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        server.setSoTimeout(10_000);
+        listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        listener.setSoTimeout(10_000);
     }
 
     String address() {
-        return "127.0.0.1:" + server.getLocalPort();
+        return "127.0.0.1:" + listener.getLocalPort();
     }
 
+    /** Waits for the next connection. */
     Wire accept() throws IOException {
-        var wire = new Wire(server.accept());
-        synchronized (open) {
-            open.add(wire);
+        var connection = new Wire(listener.accept());
+        synchronized (connections) {
+            connections.add(connection);
         }
-        return wire;
+        return connection;
     }
 
-    /** Answers every request in the same way from now on, on threads of its own; returns the requests as they come. */
-    BlockingQueue<Wire.Message> always(String answer) {
-        var seen = new LinkedBlockingQueue<Wire.Message>();
+    /** Accepts all connections from now on and answers each request with the same response, on threads of its own; returns the requests. */
+    BlockingQueue<Wire.Message> always(String response) {
+        var requests = new LinkedBlockingQueue<Wire.Message>();
         background(() -> {
             while (true) {
-                Wire wire = accept();
+                Wire connection = accept();
                 background(() -> {
-                    for (Wire.Message m = wire.read(); m != null; m = wire.read()) {
-                        seen.add(m);
-                        wire.send(answer);
+                    for (Wire.Message request = connection.read(); request != null; request = connection.read()) {
+                        requests.add(request);
+                        connection.send(response);
                     }
                 });
             }
         });
-        return seen;
+        return requests;
     }
 
     static String ok(String body) {
@@ -59,24 +63,25 @@
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Removes and returns the next element; fails if there is none for 10 s. */
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(10, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("the queue stayed empty for 10 s");
         }
         return next;
     }
 
-    interface Work {
+    interface Task {
         void run() throws IOException;
     }
 
-    private static void background(Work work) {
+    private static void background(Task task) {
         var thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // The test is over, or the other side has hung up: either way there is nothing more to answer.
+                // The test is over, or the client has closed the connection: no further request can be answered.
             }
         });
         thread.setDaemon(true);
@@ -84,15 +89,15 @@
     }
 
     int port() {
-        return ((InetSocketAddress) server.getLocalSocketAddress()).getPort();
+        return ((InetSocketAddress) listener.getLocalSocketAddress()).getPort();
     }
 
     @Override
     public void close() throws IOException {
-        server.close();
-        synchronized (open) {
-            for (Wire wire : open) {
-                wire.close();
+        listener.close();
+        synchronized (connections) {
+            for (Wire connection : connections) {
+                connection.close();
             }
         }
     }
--- a/proxy/src/test/java/walkpost/proxy/LongBodyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are passed on as they come, and the forms in which HTTP/1.1 lets them come. */
-class LongBodyTest {
+/** Tests bodies that are relayed as they arrive, in the forms that HTTP/1.1 has for them. */
+class StreamedBodyTest {
     private static final String LONG = "0123456789abcdef".repeat(40_000);
     private static final String HALF = LONG.substring(LONG.length() / 2);
 
     private static String chunked(String body, String trailers) {
         var text = new StringBuilder();
-        for (int at = 0; at < body.length(); at += 10_000) {
-            String chunk = body.substring(at, Math.min(body.length(), at + 10_000));
+        for (int start = 0; start < body.length(); start += 10_000) {
+            String chunk = body.substring(start, Math.min(body.length(), start + 10_000));
             text.append(Integer.toHexString(chunk.length())).append("\r\n").append(chunk).append("\r\n");
         }
         return text + "0\r\n" + trailers + "\r\n";
@@ -37,8 +37,8 @@
         return Fixture.post(id, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     }
 
-    /** Sends from another thread, as the other side may have this one wait. */
-    private static void sendBeside(Wire wire, String text) {
+    /** Sends from another thread, because back-pressure may block the sender. */
+    private static void sendInBackground(Wire wire, String text) {
         CompletableFuture.runAsync(() -> {
             try {
                 wire.send(text);
@@ -49,10 +49,10 @@
     }
 
     @Test
-    void passesALongRequestOnAndThenItsTimeBegins() throws Exception {
+    void relaysALongRequestAndStartsItsDeadlineAtItsEnd() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
-            sendBeside(client, Fixture.post("r1", LONG));
+            sendInBackground(client, Fixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
             Wire.Message request = Peer.next(seen);
             assertThat(request.body()).isEqualTo(LONG);
@@ -60,15 +60,15 @@
             assertThat(proxy.next(RequestSending.class)).isEqualTo(new RequestSending("r1", 0));
             assertThat(proxy.next(RequestSent.class).leftUs()).isBetween(1_000_000L, 1_900_000L);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
-            // And the connections go on.
+            // The connections stay usable.
             assertThat(client.send(Fixture.get("r2")).read().body()).isEqualTo("made");
         }
     }
 
     @Test
-    void passesALongRequestOfUnknownLengthOnWithItsTrailers() throws Exception {
+    void relaysALongRequestOfUnknownLengthWithItsTrailers() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            sendBeside(client, chunkedPost("r1") + chunked(LONG, "X-Sum: 7\r\n"));
+            sendInBackground(client, chunkedPost("r1") + chunked(LONG, "X-Sum: 7\r\n"));
             Wire attempt = server.accept();
             Wire.Message request = attempt.readChunked();
             assertThat(request.body()).isEqualTo(LONG);
@@ -79,37 +79,37 @@
     }
 
     @Test
-    void passesALongAnswerOnAndTellsWhenItBegins() throws Exception {
+    void relaysALongResponseAndReportsItsStart() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             Wire attempt = server.accept();
             attempt.read();
             attempt.send("HTTP/1.1 200 OK\r\nContent-Length: " + LONG.length() + "\r\n\r\n" + LONG.charAt(0));
             assertThat(proxy.next(StreamStarted.class)).isEqualTo(new StreamStarted("r1", 0));
-            sendBeside(attempt, LONG.substring(1));
+            sendInBackground(attempt, LONG.substring(1));
             assertThat(client.read().body()).isEqualTo(LONG);
-            AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.outcome()).isEqualTo(Outcome.OK);
-            assertThat(end.last()).isTrue();
+            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            assertThat(ended.outcome()).isEqualTo(Outcome.OK);
+            assertThat(ended.last()).isTrue();
             client.send(Fixture.get("r2"));
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r2");
         }
     }
 
     @Test
-    void passesALongAnswerOfUnknownLengthOnWithItsTrailers() throws Exception {
+    void relaysALongResponseOfUnknownLengthWithItsTrailers() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             server.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, "X-Sum: 7\r\n"));
-            Wire.Message answer = client.send(Fixture.get("r1")).readChunked();
-            assertThat(answer.body()).isEqualTo(LONG);
-            assertThat(answer.header("X-Sum")).isEqualTo("7");
+            Wire.Message response = client.send(Fixture.get("r1")).readChunked();
+            assertThat(response.body()).isEqualTo(LONG);
+            assertThat(response.header("X-Sum")).isEqualTo("7");
             assertThat(client.send(Fixture.get("r2")).readChunked().body()).isEqualTo(LONG);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAnswerMayEndWithItsConnection(boolean isLong) throws Exception {
+    void aResponseMayEndWithItsConnection(boolean isLong) throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             try (Wire attempt = server.accept()) {
@@ -120,21 +120,21 @@
         }
     }
 
-    /** An old client knows no chunks: to it such an answer ends with the connection. */
+    /** HTTP/1.0 has no chunked coding, so the close of the connection ends such a response. */
     @Test
-    void anOldClientIsToldTheEndByTheConnection() throws Exception {
+    void anHttp10ClientGetsALongResponseWithoutChunks() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             server.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, ""));
             client.send(Fixture.get("r1").replace("HTTP/1.1", "HTTP/1.0"));
-            String all = client.rest();
-            assertThat(all).doesNotContainIgnoringCase("transfer-encoding").endsWith("\r\n\r\n" + LONG);
+            String response = client.rest();
+            assertThat(response).doesNotContainIgnoringCase("transfer-encoding").endsWith("\r\n\r\n" + LONG);
         }
     }
 
-    /** Once it has begun, it can't be taken back or tried again; but the client must not take it for whole. */
+    /** A response that has started cannot be retried, but the client must not take the part it has for the whole. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 640000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n4e200\r\n"})
-    void aLongAnswerThatBreaksIsBrokenForTheClient(String framing) throws Exception {
+    void aTruncatedLongResponseIsNotCompleteForTheClient(String framing) throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             try (Wire attempt = server.accept()) {
@@ -151,9 +151,9 @@
         }
     }
 
-    /** Whoever has gone is not sent the rest, and the tile server is not kept at it. */
+    /** The proxy stops receiving a response whose client has gone, so that the server is not kept busy with it. */
     @Test
-    void aClientThatLeavesALongAnswerEndsTheAttempt() throws Exception {
+    void aClientThatLeavesDuringALongResponseCancelsTheAttempt() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
             Wire attempt;
             try (var client = proxy.client()) {
@@ -168,27 +168,27 @@
         }
     }
 
-    /** What has come so far is kept until more has gone out: a server that can't be reached costs nothing. */
+    /** The collected start of the body is kept until bytes beyond it are written, so an unreachable server does not fail the request. */
     @Test
-    void aLongRequestIsTriedElsewhereIfNothingOfItIsLost() throws Exception {
-        var dead = new Peer();
-        dead.close();
+    void aLongRequestIsRetriedIfNoBytesOfItAreLost() throws Exception {
+        var unreachable = new Peer();
+        unreachable.close();
         try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && !e.last()) {
                 actions.accept(new Send(e.id(), "s1", 0));
             }
-        }, dead, server); var client = proxy.client()) {
+        }, unreachable, server); var client = proxy.client()) {
             BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
-            sendBeside(client, Fixture.post("r1", LONG));
+            sendInBackground(client, Fixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
             assertThat(Peer.next(seen).body()).isEqualTo(LONG);
         }
     }
 
     @Test
-    void aLongRequestHalfOfWhichIsGoneIsNotSentAgain() throws Exception {
+    void aLongRequestOfWhichBytesAreLostIsNotRetried() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
@@ -209,25 +209,25 @@
         }
     }
 
-    /** The client reads why it was turned away even while it is still sending: no reset overtakes the answer. */
+    /** The client can read the error even while it is still sending: no reset overtakes the response. */
     @Test
-    void anAnswerToARequestThatIsStillComingIsItsConnectionsLast() throws Exception {
+    void theResponseToAnIncompleteRequestClosesItsConnection() throws Exception {
         try (var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Fail(a.id()));
             }
         }); var client = proxy.client()) {
             client.send(Fixture.post("r1", LONG).substring(0, 100_000));
-            Wire.Message answer = client.read();
-            assertThat(answer.status()).isEqualTo(502);
-            assertThat(answer.header("Connection")).isEqualTo("close");
+            Wire.Message response = client.read();
+            assertThat(response.status()).isEqualTo(502);
+            assertThat(response.header("Connection")).isEqualTo("close");
             assertThat(client.ended()).isTrue();
         }
     }
 
-    /** A long body may take its time, but neither stand still nor trickle. */
+    /** A long body may take any time in total, but must not stall or arrive too slowly. */
     @Test
-    void aLongRequestThatStandsStillIsGivenUp() throws Exception {
+    void aLongRequestThatStallsTimesOut() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(Fixture.post("r1", LONG).substring(0, 100_000));
             Wire attempt = server.accept();
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void invitesABodyThatTheClientHoldsBack() throws Exception {
+    void sendsContinueToAClientThatExpectsIt() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
             String request = Fixture.post("r1", "body").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void sendsATargetOnWithoutSchemeAndHost() throws Exception {
+    void forwardsATargetWithoutSchemeAndHost() throws Exception {
         try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
             BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
             client.send(Fixture.get("r1").replace("GET /api", "GET http://service.internal/api")).read();
@@ -258,13 +258,13 @@
         }
     }
 
-    /** What two servers could read in two ways would be two requests to one of them and one to the other. */
+    /** Guards against request smuggling: with two lengths, one server could see two requests where another one sees one. */
     @Test
-    void aLengthToldInTwoWaysIsNoRequest() throws Exception {
+    void aRequestWithTwoLengthsIsRejected() throws Exception {
         try (var proxy = new Fixture(Fixture.sendTo("s0"))) {
-            for (String more : new String[] {"Transfer-Encoding: chunked", "Content-Length: 5"}) {
+            for (String secondLength : new String[] {"Transfer-Encoding: chunked", "Content-Length: 5"}) {
                 try (var client = proxy.client()) {
-                    client.send(Fixture.post("r1", "body").replace("Content-Length", more + "\r\nContent-Length"));
+                    client.send(Fixture.post("r1", "body").replace("Content-Length", secondLength + "\r\nContent-Length"));
                     assertThat(client.read().status()).isEqualTo(400);
                     assertThat(client.ended()).isTrue();
                 }
--- a/proxy/src/test/java/walkpost/proxy/Wire.java
+++ b/proxy/src/test/java/walkpost/proxy/Wire.java
@@ -11,16 +11,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** One end of a connection, read and written byte by byte: tests see just what is sent, and when it ends. */
+/**
+ * A test's end of a TCP connection. Reads and writes HTTP messages as plain bytes, so that tests see exactly what is sent and when the
+ * connection ends. Used by one thread at a time.
+ */
 final class Wire implements Closeable {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
 
     final Socket socket;
     private final InputStream in;
 
     Wire(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
@@ -34,20 +37,20 @@
         return this;
     }
 
-    /** Reads one message: its first line, its headers and its body; null if the connection ends before one begins. */
+    /** Reads one message with its Content-Length body; returns null if the connection ends before a message begins. */
     Message read() throws IOException {
         Message head = readHead();
         String length = head == null ? null : head.header("Content-Length");
         return head == null ? null : new Message(head.first(), head.headers(), body(length == null ? 0 : Integer.parseInt(length)));
     }
 
-    /** Reads one message without its body; null if the connection ends before one begins. */
+    /** Reads one message's first line and headers; returns null if the connection ends before a message begins. */
     Message readHead() throws IOException {
         String first = line();
         return first == null ? null : new Message(first, fields(), "");
     }
 
-    /** Reads one message whose body comes in chunks; its trailers stand with its headers. */
+    /** Reads one message with a chunked body; its trailers are added to its headers. */
     Message readChunked() throws IOException {
         Message head = readHead();
         var body = new StringBuilder();
@@ -61,7 +64,7 @@
     private int chunkSize() throws IOException {
         String line = line();
         if (line == null) {
-            throw new IOException("cut short before a chunk");
+            throw new IOException("the connection ended before a chunk; expected its size");
         }
         return Integer.parseInt(line, 16);
     }
@@ -77,22 +80,22 @@
     private String body(int length) throws IOException {
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("cut short after " + body.length + " of " + length);
+            throw new IOException("the connection ended after " + body.length + " of " + length + " body bytes");
         }
         return new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads so many bytes. */
+    /** Reads and drops a number of bytes. */
     void skip(int bytes) throws IOException {
         body(bytes);
     }
 
-    /** Reads all that comes until the other side ends the connection. */
+    /** Reads all bytes until the other side ends the connection. */
     String rest() throws IOException {
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    /** Waits until the other side has ended the connection; returns whether it did so without sending anything. */
+    /** Waits until the other side ends or resets the connection; returns whether it did so in time and without sending anything. */
     boolean ended() throws IOException {
         try {
             return in.read() < 0;
@@ -103,7 +106,7 @@
         }
     }
 
-    /** Ends the sending from this side; what the other side has to say may still come. */
+    /** Closes the output; input from the other side can still be read. */
     void endSending() throws IOException {
         socket.shutdownOutput();
     }
@@ -126,6 +129,7 @@
         socket.close();
     }
 
+    /** An HTTP message: its request or status line, its header lines, and its body. */
     record Message(String first, String headers, String body) {
         int status() {
             return Integer.parseInt(first.split(" ")[1]);
