--- a/proxy/src/main/java/walkpost/proxy/Frontend.java
+++ b/proxy/src/main/java/walkpost/proxy/Frontend.java
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Applies new settings to the requests whose heads arrive from now on. */
+    /** Applies new settings to the exchanges that begin from now on. */
     void tune(Balancer.Settings settings) {
         admissionRules = AdmissionRules.of(settings);
     }
