--- a/proxy/src/main/java/walkpost/proxy/Backends.java
+++ b/proxy/src/main/java/walkpost/proxy/Backends.java
@@ -36,40 +36,44 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections to the backends, and what becomes of the attempts sent over them. A connection carries one attempt
- * at a time. Nothing is ever sent again from here: each attempt is one that the module has asked for.
+ * Manages the connections to the servers and runs the attempts sent over them. A connection carries one attempt at a time. This class
+ * never retries: each attempt is one that the balancer requested. Used on the event loop only.
  */
 final class Backends {
+    /** A body up to this size is buffered whole; a longer one is relayed. */
     static final int MAX_BODY = 64 * 1024;
 
     /**
-     * What goes to a backend; it is the same for each attempt, but for the time left. The body is whole, or else in a
-     * relay, on which it may still be coming.
+     * A request as it is sent to a server, the same for each attempt except for the time left. The body is either complete in
+     * {@code body}, or passes through {@code relay} and may still be arriving from the client.
      */
     record Outgoing(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body, BodyRelay relay) { }
 
-    /** A backend's 200. The body is the receiver's to release. */
+    /** A complete 200 response of a server. The receiver must release the body. */
     record Answer(HttpHeaders headers, ByteBuf body) { }
 
-    /** A line of the list, and where this proxy finds that backend. */
+    /** An entry of discovery's list of servers, and the address at which this proxy connects to that server. */
     record Listed(Balancer.Backend backend, SocketAddress address) { }
 
-    /** A backend's 200 that has begun; {@code length} is -1 where it is not known. The body is the receiver's to end. */
+    /**
+     * A 200 response whose body is still arriving; {@code length} is -1 if it is unknown. The receiver must read the body to its end or
+     * cancel it.
+     */
     record Stream(HttpHeaders headers, long length, BodyRelay body) { }
 
-    /** Hears what becomes of an attempt. */
+    /** Is notified of the progress and the outcome of an attempt, on the event loop. */
     interface AttemptListener {
-        /** A body that is still coming is being passed on: until it has gone out whole, nothing can be answered. */
+        /** The attempt has started to relay a request body that is still arriving; the server cannot respond until it is sent. */
         void sending();
 
-        /** That body has gone out whole. */
+        /** The relayed request body has been sent completely. */
         void sent();
 
-        /** A long answer has begun. */
+        /** A response that is too long to be buffered has started. */
         void streams(Stream stream);
 
-        /** The one end; {@code answer} is there for an {@link Outcome#OK} that has not streamed. */
-        void ended(Outcome outcome, long latencyUs, Answer answer);
+        /** The attempt has ended; called once. {@code response} is null unless the outcome is {@link Outcome#OK} and was not streamed. */
+        void ended(Outcome outcome, long latencyUs, Answer response);
     }
 
     private final Clock clock;
@@ -79,9 +83,9 @@
     private final Bootstrap bootstrap;
     private long idleUs;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    /** All that the list names, whatever it says of them. */
-    private final Set<String> named = new HashSet<>();
-    private final Set<String> excluded = new HashSet<>();
+    /** The ids of all servers on the list, whatever their state. */
+    private final Set<String> listedIds = new HashSet<>();
+    private final Set<String> excludedIds = new HashSet<>();
 
     Backends(Clock clock, EventLoop loop, ChannelFactory<? extends Channel> transport, Sockets sockets, Buffers buffers,
             long connIdleUs, long connectTimeoutUs) {
@@ -95,82 +99,82 @@
         tune(connIdleUs, connectTimeoutUs);
     }
 
-    /** Takes the times over that connections have, the first or others. What is idle now has been there by the old ones. */
+    /** Sets the time-outs of connections. If the idle time-out gets shorter, closes all idle connections: they may exceed it. */
     void tune(long connIdleUs, long connectTimeoutUs) {
         int connectMs = (int) Math.max(1, connectTimeoutUs / 1_000);
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs);
-        endpoints.values().forEach(t -> t.pool.connectTimeout(connectMs));
-        // Well before the backend does: a request that crosses its close ends as a reset, and may have run.
-        long before = idleUs;
+        endpoints.values().forEach(endpoint -> endpoint.pool.setConnectTimeoutMs(connectMs));
+        // This side closes well before the server does: a request that crosses the server's close is reset and may have run.
+        long previousIdleUs = idleUs;
         idleUs = connIdleUs * 3 / 5;
-        if (idleUs < before) {
-            endpoints.values().forEach(t -> t.pool.closeIdle());
+        if (idleUs < previousIdleUs) {
+            endpoints.values().forEach(endpoint -> endpoint.pool.closeIdle());
         }
     }
 
-    /** Returns how many backends there are to send to. */
+    /** Returns the number of servers that new attempts may be sent to. */
     int ready() {
-        return (int) endpoints.values().stream().filter(Endpoint::open).count();
+        return (int) endpoints.values().stream().filter(Endpoint::acceptsAttempts).count();
     }
 
     /**
-     * Takes over what discovery tells.
+     * Applies a list, or changes to it, from discovery.
      *
-     * @return the attempts that are to be stopped, as no byte of theirs has gone to a backend that wants nothing new
+     * @return the attempts that the caller must abort: their server accepts nothing new, and none of their bytes has been sent
      */
     List<Attempt> update(Balancer.ListKind kind, List<Listed> listed) {
         var unsent = new ArrayList<Attempt>();
         if (kind != Balancer.ListKind.DELTA) {
-            named.clear();
+            listedIds.clear();
         }
-        for (Listed l : listed) {
-            if (l.backend().state() == Balancer.State.GONE) {
-                named.remove(l.backend().id());
+        for (Listed entry : listed) {
+            if (entry.backend().state() == Balancer.State.GONE) {
+                listedIds.remove(entry.backend().id());
             } else {
-                named.add(l.backend().id());
+                listedIds.add(entry.backend().id());
             }
-            Endpoint endpoint = endpoints.get(l.backend().id());
-            if (endpoint == null || !endpoint.address.equals(l.address())) {
+            Endpoint endpoint = endpoints.get(entry.backend().id());
+            if (endpoint == null || !endpoint.address.equals(entry.address())) {
                 if (endpoint != null) {
-                    // The same backend in another place: the old one gets nothing new.
+                    // The same server at another address: the old address gets no new attempts.
                     endpoint.ready = false;
-                    unsent.addAll(endpoint.stopped());
+                    unsent.addAll(endpoint.stopSending());
                 }
-                endpoint = new Endpoint(l.backend().id(), l.address());
-                endpoints.put(l.backend().id(), endpoint);
+                endpoint = new Endpoint(entry.backend().id(), entry.address());
+                endpoints.put(entry.backend().id(), endpoint);
             }
-            endpoint.startedAt(l.backend().startedAtUs());
-            endpoint.ready = l.backend().state() == Balancer.State.READY;
+            endpoint.setStartTime(entry.backend().startedAtUs());
+            endpoint.ready = entry.backend().state() == Balancer.State.READY;
         }
         if (kind != Balancer.ListKind.DELTA) {
-            endpoints.forEach((id, t) -> t.ready &= named.contains(id));
+            endpoints.forEach((id, endpoint) -> endpoint.ready &= listedIds.contains(id));
         }
-        endpoints.values().removeIf(t -> {
-            if (!t.ready) {
-                unsent.addAll(t.stopped());
+        endpoints.values().removeIf(endpoint -> {
+            if (!endpoint.ready) {
+                unsent.addAll(endpoint.stopSending());
             }
-            return !t.ready && t.out.isEmpty();
+            return !endpoint.ready && endpoint.activeAttempts.isEmpty();
         });
         return unsent;
     }
 
-    /** Returns whether the list names a backend, or the operators have taken it out. */
+    /** Returns whether a server is on the list or is excluded by the operators. */
     boolean knows(String id) {
-        return named.contains(id) || excluded.contains(id);
+        return listedIds.contains(id) || excludedIds.contains(id);
     }
 
-    /** Takes a backend out, whatever the list says; returns the attempts that are to be stopped, as for a drain. */
+    /** Excludes a server, whatever the list says; returns the attempts that the caller must abort, as for a drain. */
     List<Attempt> exclude(String id) {
-        excluded.add(id);
+        excludedIds.add(id);
         Endpoint endpoint = endpoints.get(id);
-        return endpoint == null ? List.of() : endpoint.stopped();
+        return endpoint == null ? List.of() : endpoint.stopSending();
     }
 
     void include(String id) {
-        excluded.remove(id);
+        excludedIds.remove(id);
     }
 
-    /** Closes the idle connections to a backend. */
+    /** Closes the idle connections to a server. */
     void release(String id) {
         Endpoint endpoint = endpoints.get(id);
         if (endpoint != null) {
@@ -179,69 +183,71 @@
     }
 
     /**
-     * Returns an attempt that is yet to be started, or null where there is no such backend or no socket left.
+     * Creates an attempt that the caller must start.
      *
      * @param timeoutUs how long the attempt may take from its start
-     * @param sendByUs the last moment, on the proxy's clock, at which its first byte may be written: where a connection
-     *                 comes up later than that, the attempt ends as never sent
+     * @param sendByUs the latest time, on the proxy's clock, at which the first byte may be written: if the connection is established
+     *                 later, the attempt ends as {@link Outcome#NOT_SENT}
+     * @return null if the server is unknown or accepts no new attempts, if no socket is left, or if the relayed request body can
+     *         no longer be sent from its start
      */
     Attempt attempt(String id, Outgoing outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
         Endpoint endpoint = endpoints.get(id);
-        if (endpoint == null || !endpoint.open() || !endpoint.pool.hasIdle() && !sockets.roomForBackend()
+        if (endpoint == null || !endpoint.acceptsAttempts() || !endpoint.pool.hasIdle() && !sockets.roomForBackend()
                 || outgoing.relay() != null && !outgoing.relay().fresh()) {
             return null;
         }
         return new Attempt(endpoint, outgoing, timeoutUs, sendByUs, listener);
     }
 
-    /** One backend. */
+    /** One server at one address: its connections and the attempts in progress. */
     final class Endpoint {
         private final String id;
         private final SocketAddress address;
         private final ConnectionPool pool;
-        private final Set<Attempt> out = new LinkedHashSet<>();
+        private final Set<Attempt> activeAttempts = new LinkedHashSet<>();
         private long startedAtUs;
         private boolean ready;
 
         Endpoint(String id, SocketAddress address) {
             this.id = id;
             this.address = address;
-            this.pool = new ConnectionPool(bootstrap.clone().remoteAddress(address), this::opened,
+            this.pool = new ConnectionPool(bootstrap.clone().remoteAddress(address), this::setUpConnection,
                     new RestingConnections(clock::now, sockets), () -> idleUs);
         }
 
-        private void opened(Channel channel) {
+        private void setUpConnection(Channel channel) {
             sockets.backendOpened(channel);
             if (channel.config() instanceof DuplexChannelConfig config) {
-                // Else nothing tells an end that the backend has sent from a close of this side's.
+                // Only with half-closure can the end of the server's output be told apart from a close by this side.
                 config.setAllowHalfClosure(true);
             }
-            var connection = new BackendConnection(this, buffers);
-            channel.pipeline().addLast(connection.decoder(), new HttpRequestEncoder(),
-                    new IdleStateHandler(0, 0, idleUs, TimeUnit.MICROSECONDS), connection);
+            var handler = new ServerConnectionHandler(this, buffers);
+            channel.pipeline().addLast(handler.decoder(), new HttpRequestEncoder(),
+                    new IdleStateHandler(0, 0, idleUs, TimeUnit.MICROSECONDS), handler);
         }
 
-        /** Takes the time of its last start: what was opened to the process before that leads nowhere. */
-        void startedAt(long us) {
-            if (us > startedAtUs) {
-                startedAtUs = us;
+        /** Sets the time of the server's last start; if it is new, closes the idle connections, which led to the previous process. */
+        void setStartTime(long newStartedAtUs) {
+            if (newStartedAtUs > startedAtUs) {
+                startedAtUs = newStartedAtUs;
                 pool.closeIdle();
             }
         }
 
-        /** A connection to it has ended. */
-        void closed(Channel channel) {
-            pool.closed(channel);
+        /** Removes a closed connection from the pool. */
+        void onConnectionClosed(Channel channel) {
+            pool.onConnectionClosed(channel);
         }
 
-        /** Returns whether it may be sent anything new. */
-        boolean open() {
-            return ready && !excluded.contains(id);
+        /** Returns whether new attempts may be sent to this server. */
+        boolean acceptsAttempts() {
+            return ready && !excludedIds.contains(id);
         }
 
-        /** Keeps a connection that is free for the next attempt, if there may be one. */
-        void keep(Channel channel) {
-            if (open()) {
+        /** Returns a free connection to the pool, or closes it if the server accepts no new attempts. */
+        void returnToPool(Channel channel) {
+            if (acceptsAttempts()) {
                 pool.release(channel);
             } else {
                 channel.close();
@@ -249,30 +255,32 @@
         }
 
         /**
-         * Closes what is idle; returns the attempts that have not been written whole and so never ran. One whose body is
-         * on its way has begun before, and could not be sent elsewhere.
+         * Closes the idle connections and returns the attempts whose request is not written completely, so that it cannot have run. An
+         * attempt that relays a request body is not returned: it has begun already and could not be sent to another server.
          */
-        List<Attempt> stopped() {
+        List<Attempt> stopSending() {
             pool.closeIdle();
-            return out.stream().filter(a -> !a.mayHaveRun() && !a.sending).toList();
+            return activeAttempts.stream().filter(attempt -> !attempt.mayHaveRun() && !attempt.relayingBody).toList();
         }
     }
 
-    /** One attempt, from the wish for a connection to its end. */
+    /** One attempt to have a request served, from acquiring a connection to its outcome. */
     final class Attempt implements BodyRelay.Sink {
         private final Endpoint endpoint;
         private final Outgoing outgoing;
         private final long timeoutUs;
         private final long sendByUs;
         private final AttemptListener listener;
-        private long startedAt;
-        private long firstBytesAt;
+        private long startedAtUs;
+        /** When a relayed response started, on the proxy's clock; 0 if none has. */
+        private long responseStartedAtUs;
         private Future<?> timer;
         private ChannelFuture connecting;
         private Channel channel;
-        private boolean sending;
-        /** What the last byte is written with; null before that. */
-        private ChannelPromise last;
+        /** True while a request body that still arrives from the client is relayed to the server. */
+        private boolean relayingBody;
+        /** Completes when the last byte of the request is written; null before that write begins. */
+        private ChannelPromise lastWrite;
         private boolean ended;
 
         private Attempt(Endpoint endpoint, Outgoing outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
@@ -284,44 +292,44 @@
         }
 
         void start() {
-            startedAt = clock.now();
-            endpoint.out.add(this);
-            waitForAnswer();
+            startedAtUs = clock.now();
+            endpoint.activeAttempts.add(this);
+            startTimeout();
             Promise<Channel> promise = loop.newPromise();
             connecting = endpoint.pool.acquireOrConnect(promise);
-            promise.addListener((Future<Channel> f) -> connected(f));
+            promise.addListener((Future<Channel> acquired) -> onConnection(acquired));
         }
 
-        private void waitForAnswer() {
-            // Before its last byte is written it has not run for certain; after that it may, even if nothing comes.
+        private void startTimeout() {
+            // Before the last byte is written the request cannot have run; after that it may have, even if no response arrives.
             timer = loop.schedule(() -> abort(mayHaveRun() ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED), timeoutUs,
                     TimeUnit.MICROSECONDS);
         }
 
-        private void connected(Future<Channel> f) {
+        private void onConnection(Future<Channel> acquired) {
             connecting = null;
-            if (!f.isSuccess()) {
-                // Where this machine had no socket to give, nothing is known of the backend.
-                end(f.cause() instanceof ChannelException ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED, null);
-            } else if (ended || !endpoint.open() || clock.now() > sendByUs) {
-                // It has come too late for this attempt, but may serve another.
-                endpoint.keep(f.getNow());
+            if (!acquired.isSuccess()) {
+                // A ChannelException means that this machine could not create a socket, which says nothing about the server.
+                end(acquired.cause() instanceof ChannelException ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED, null);
+            } else if (ended || !endpoint.acceptsAttempts() || clock.now() > sendByUs) {
+                // The connection was established too late for this attempt, but another attempt may use it.
+                endpoint.returnToPool(acquired.getNow());
                 end(Outcome.NOT_SENT, null);
             } else {
-                channel = f.getNow();
+                channel = acquired.getNow();
                 try {
-                    write();
+                    writeRequest();
                 } catch (RuntimeException e) {
-                    // A request that can't be written down has gone nowhere; nobody else must suffer for it.
+                    // A request that cannot be encoded has not been sent; the failure must not affect other requests.
                     abort(mayHaveRun() ? Outcome.ERROR : Outcome.NOT_SENT);
                 }
             }
         }
 
-        private void write() {
-            channel.pipeline().get(BackendConnection.class).carry(this);
+        private void writeRequest() {
+            channel.pipeline().get(ServerConnectionHandler.class).assign(this);
             if (outgoing.relay() != null) {
-                pass();
+                startBodyRelay();
                 return;
             }
             var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, outgoing.method(), outgoing.uri(),
@@ -334,40 +342,43 @@
         }
 
         private void writeLast(Object message) {
-            last = channel.newPromise();
-            channel.writeAndFlush(message, last);
-            last.addListener(this::written);
+            lastWrite = channel.newPromise();
+            channel.writeAndFlush(message, lastWrite);
+            lastWrite.addListener(this::onLastWritten);
         }
 
         /**
-         * Returns whether the last byte may have left, so that the request may have run. Netty may put off calling
-         * whoever waits to hear that, so it is asked what still waits to be written.
+         * Returns whether the last byte of the request may have left this machine, so that the server may have run it. Netty may delay the
+         * listeners of a completed write, so the outbound buffer is checked as well.
          */
         boolean mayHaveRun() {
-            if (last == null || last.isDone()) {
-                return last != null && last.isSuccess();
+            if (lastWrite == null || lastWrite.isDone()) {
+                return lastWrite != null && lastWrite.isSuccess();
             }
-            ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
-            return waiting == null || waiting.isEmpty();
+            ChannelOutboundBuffer unwritten = channel.unsafe().outboundBuffer();
+            return unwritten == null || unwritten.isEmpty();
         }
 
         private void copyHeaders(HttpRequest request) {
             Headers.copyEndToEnd(outgoing.headers(), request.headers());
-            request.headers().set(Headers.TIMEOUT, Math.max(1, startedAt + timeoutUs - clock.now()) + "u");
+            request.headers().set(Headers.TIMEOUT, Math.max(1, startedAtUs + timeoutUs - clock.now()) + "u");
         }
 
-        private void written(Future<?> done) {
-            if (!done.isSuccess()) {
+        private void onLastWritten(Future<?> write) {
+            if (!write.isSuccess()) {
                 abort(Outcome.CONNECT_FAILED);
-            } else if (sending && !ended) {
-                sending = false;
-                waitForAnswer();
+            } else if (relayingBody && !ended) {
+                relayingBody = false;
+                startTimeout();
                 listener.sent();
             }
         }
 
-        /** Passes a body on that is still coming. How long that takes is the client's affair; the answer is due after it. */
-        private void pass() {
+        /**
+         * Sends the request head and starts to relay the body. No time-out runs meanwhile, because the client determines how long that
+         * takes; the time-out for the response starts when the body is sent.
+         */
+        private void startBodyRelay() {
             var request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, outgoing.method(), outgoing.uri());
             copyHeaders(request);
             String length = outgoing.headers().get(HttpHeaderNames.CONTENT_LENGTH);
@@ -378,7 +389,7 @@
             }
             channel.write(request);
             timer.cancel(false);
-            sending = true;
+            relayingBody = true;
             listener.sending();
             outgoing.relay().to(this);
         }
@@ -395,30 +406,30 @@
 
         @Override
         public void broken() {
-            // The client's doing, of which the backend has had no whole request.
+            // The client broke off its body, so the server has not received a complete request.
             abort(Outcome.NOT_SENT);
         }
 
-        /** Returns whether its body is on its way, and its connection takes no more of it. */
-        boolean isStuck() {
-            return sending && !channel.isWritable();
+        /** Returns whether a request body is being relayed and the connection to the server is not writable. */
+        boolean isSendBlocked() {
+            return relayingBody && !channel.isWritable();
         }
 
-        /** The connection takes more. */
-        void flow() {
-            if (sending) {
+        /** Continues a relayed request body after the connection's writability has changed. */
+        void resumeSending() {
+            if (relayingBody) {
                 outgoing.relay().flow();
             }
         }
 
-        /** A long answer has begun: from now on no time-out runs, and the latency is known. */
-        void streams(Stream stream) {
+        /** Reports a response that is relayed: its latency is measured now, and no time-out runs from here on. */
+        void beginStreamedResponse(Stream response) {
             timer.cancel(false);
-            firstBytesAt = clock.now();
-            listener.streams(stream);
+            responseStartedAtUs = clock.now();
+            listener.streams(response);
         }
 
-        /** Ends the attempt from this side. Its connection is closed first: no other attempt goes out beside it. */
+        /** Ends the attempt from this side. Its connection is closed first, so that no other attempt is sent while this one is open. */
         void abort(Outcome outcome) {
             if (ended) {
                 return;
@@ -432,24 +443,24 @@
             report(outcome, null);
         }
 
-        /** Ends the attempt with what has come over its connection. */
-        void end(Outcome outcome, Answer answer) {
+        /** Ends the attempt with the outcome seen on its connection. */
+        void end(Outcome outcome, Answer response) {
             if (!ended) {
                 ended = true;
-                report(outcome, answer);
-            } else if (answer != null) {
-                answer.body().release();
+                report(outcome, response);
+            } else if (response != null) {
+                response.body().release();
             }
         }
 
-        private void report(Outcome outcome, Answer answer) {
+        private void report(Outcome outcome, Answer response) {
             timer.cancel(false);
-            endpoint.out.remove(this);
-            if (sending) {
-                sending = false;
+            endpoint.activeAttempts.remove(this);
+            if (relayingBody) {
+                relayingBody = false;
                 outgoing.relay().detach();
             }
-            listener.ended(outcome, (firstBytesAt > 0 ? firstBytesAt : clock.now()) - startedAt, answer);
+            listener.ended(outcome, (responseStartedAtUs > 0 ? responseStartedAtUs : clock.now()) - startedAtUs, response);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/CallFailure.java
+++ b/proxy/src/main/java/walkpost/proxy/CallFailure.java
@@ -3,23 +3,23 @@
 import io.netty.channel.ConnectTimeoutException;
 import java.util.Locale;
 
-/** How a call to discovery failed, as far as it matters for when to call again. */
+/** The kinds of failure of a call to discovery that {@link DiscoveryRetryPolicy} distinguishes. */
 enum CallFailure {
-    /** This machine could not make the call: no descriptor, no memory, no route. Discovery has seen nothing of it. */
+    /** This machine could not make the call (no descriptor, no memory, no route), so discovery has not seen it. */
     LOCAL,
-    /** The connection was refused or did not come up in time. */
+    /** The connection was refused or not established in time. */
     UNREACHABLE,
-    /** Discovery answered that it can't serve now, or with what is no list. */
+    /** Discovery responded with an error, or with something other than a list. */
     REJECTED,
-    /** The connection ended before an answer had begun. */
+    /** The connection ended before the response started. */
     ENDED_UNANSWERED,
-    /** An answer had begun and did not come whole, or could not be read: what it told counts as told. */
+    /** The response started but was cut off or could not be parsed; the changes in it count as published. */
     BROKEN_ANSWER;
 
-    /** Returns how the opening of a connection failed. */
+    /** Returns the kind of a connect failure. */
     static CallFailure ofConnect(Throwable cause) {
         String message = String.valueOf(cause.getMessage()).toLowerCase(Locale.ROOT);
-        boolean byOther = message.contains("refused") || message.contains("reset");
-        return byOther || cause instanceof ConnectTimeoutException ? UNREACHABLE : LOCAL;
+        boolean failedRemotely = message.contains("refused") || message.contains("reset");
+        return failedRemotely || cause instanceof ConnectTimeoutException ? UNREACHABLE : LOCAL;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Channels.java
+++ b/proxy/src/main/java/walkpost/proxy/Channels.java
@@ -2,11 +2,11 @@
 
 import io.netty.channel.Channel;
 
-/** Closes channels that may never have come into being. */
+/** Closes channels whose connection may never have been opened or registered. */
 final class Channels {
     private Channels() { }
 
-    /** Closes a channel, also one whose socket could not be had or that no loop serves yet; this never throws. */
+    /** Closes a channel without throwing, even if its socket could not be created or it is not registered with an event loop yet. */
     static void close(Channel channel) {
         if (!channel.isOpen()) {
             return;
--- a/proxy/src/main/java/walkpost/proxy/ConnectionPool.java
+++ b/proxy/src/main/java/walkpost/proxy/ConnectionPool.java
@@ -10,35 +10,38 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The connections to one backend that are open: Netty's pool, with the resting ones kept in a room of their own. */
+/**
+ * Pools the open connections to one server. It is Netty's pool, with the idle connections kept in a {@link RestingConnections}. Used on
+ * the event loop only.
+ */
 final class ConnectionPool extends SimpleChannelPool {
-    private final RestingConnections resting;
-    private final LongSupplier mostUs;
+    private final RestingConnections idleConnections;
+    private final LongSupplier maxIdleUs;
     private ChannelFuture connecting;
 
     /**
-     * Makes one.
+     * Creates a pool.
      *
-     * @param opened is given each new connection, to fit it out
-     * @param mostUs says how long a connection may have rested when it is taken, in microseconds
+     * @param onConnectionCreated is given each new connection, to set up its pipeline
+     * @param maxIdleUs returns how long a connection may have been idle when it is taken, in microseconds
      */
-    ConnectionPool(Bootstrap bootstrap, Consumer<Channel> opened, RestingConnections resting, LongSupplier mostUs) {
+    ConnectionPool(Bootstrap bootstrap, Consumer<Channel> onConnectionCreated, RestingConnections idleConnections, LongSupplier maxIdleUs) {
         super(bootstrap, new AbstractChannelPoolHandler() {
             @Override
             public void channelCreated(Channel channel) {
-                opened.accept(channel);
+                onConnectionCreated.accept(channel);
             }
         });
-        this.resting = resting;
-        this.mostUs = mostUs;
+        this.idleConnections = idleConnections;
+        this.maxIdleUs = maxIdleUs;
     }
 
-    void connectTimeout(int ms) {
-        bootstrap().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ms);
+    void setConnectTimeoutMs(int timeoutMs) {
+        bootstrap().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs);
     }
 
     boolean hasIdle() {
-        return !resting.isEmpty();
+        return !idleConnections.isEmpty();
     }
 
     @Override
@@ -47,7 +50,7 @@
         return connecting;
     }
 
-    /** Takes a connection; returns the one that is being opened for it, or null. */
+    /** Takes an idle connection or opens one; returns the future of the connection being opened, or null if an idle one was taken. */
     ChannelFuture acquireOrConnect(Promise<Channel> promise) {
         connecting = null;
         acquire(promise);
@@ -56,20 +59,20 @@
 
     @Override
     protected Channel pollChannel() {
-        return resting.take(mostUs.getAsLong());
+        return idleConnections.take(maxIdleUs.getAsLong());
     }
 
     @Override
     protected boolean offerChannel(Channel channel) {
-        resting.add(channel);
+        idleConnections.add(channel);
         return true;
     }
 
-    void closed(Channel channel) {
-        resting.remove(channel);
+    void onConnectionClosed(Channel channel) {
+        idleConnections.remove(channel);
     }
 
     void closeIdle() {
-        resting.close();
+        idleConnections.close();
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Discovery.java
+++ b/proxy/src/main/java/walkpost/proxy/Discovery.java
@@ -16,19 +16,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks discovery for the list of backends. A watch is a row of long polls, each begun as soon as the last is answered. One that says
- * nothing is made again beside, as {@link ListClock} has it; when all fail the watch is over, the module is told, and it is the module
- * that asks again, later each time. An answer that was overtaken is not taken ({@link ListVersion}). It holds six descriptors at most: a
- * watch and a call for the whole list may be open at once, and each is made thrice.
+ * Requests the list of servers from discovery. A watch is a sequence of long polls, each started as soon as the previous one is answered.
+ * A call without a response is hedged by parallel calls at the times of {@link ListCallTiming}. If all of them fail the watch ends and the
+ * balancer is notified, which then reopens the watch with an increasing back-off. A response that a newer list has overtaken is dropped
+ * ({@link ListVersion}). At most six descriptors are in use: a watch and a call for the full list may be open at once, with up to three
+ * connections each. All methods run on the event loop.
  */
 final class Discovery {
     private static final String PATH = "/v1/endpoints";
     /**
-     * The first call is waited for so long; then the list of the last life will do. Where many proxies start at once,
-     * discovery answers one after the other, and all that wait for it are missing to their clients.
+     * How long a starting proxy waits for its first call before it serves with the list of its previous run. If many proxies start at once,
+     * discovery answers them one after the other, and a proxy that waits does not serve its clients.
      */
-    static final long FIRST_ANSWER_MS = 300;
-    private static final long NO_NEWS_MS = 50;
+    static final long INITIAL_WAIT_MS = 300;
+    /** The pause before the next call after a response that came early and without changes. */
+    private static final long NO_CHANGE_PAUSE_MS = 50;
     private static final Map<String, Balancer.State> STATES = Map.of(
             "ready", Balancer.State.READY,
             "draining", Balancer.State.DRAINING,
@@ -37,185 +39,193 @@
     private final EventLoop loop;
     private final Log log = new Log("discovery");
     private final Proxy proxy;
-    private final ListRequest.Maker requests;
+    private final ListRequest.Factory requestFactory;
+    /** Whether an agent on this machine pushes lists; if not, they are requested from a service that all proxies share. */
     private boolean pushed;
-    private ListClock clock;
+    private ListCallTiming timing;
     private final SplittableRandom random;
     private InetSocketAddress address;
-    private boolean wanted;
-    private LongPoll watch;
-    private LongPoll fetch;
+    private boolean watchWanted;
+    /** The open call of the watch, and the open call for the full list; null if there is none. */
+    private HedgedCall watchCall;
+    private HedgedCall fullListCall;
     private ListVersion version = ListVersion.NONE;
-    private boolean settled;
-    private final RecallRule recall = new RecallRule();
-    private final ServerStartTimes starts = new ServerStartTimes();
+    private boolean initialWaitOver;
+    private final DiscoveryRetryPolicy retryPolicy = new DiscoveryRetryPolicy();
+    private final ServerStartTimes startTimes = new ServerStartTimes();
 
     Discovery(EventLoop loop, ChannelFactory<Channel> transport, Proxy proxy, InetSocketAddress address, Balancer.Settings settings) {
         this(loop, proxy, address, settings,
-                (to, uri, connectMs, callback) -> new ListRequest(loop, transport, to, uri, connectMs, callback)::end);
+                (server, uri, connectTimeoutMs, callback) ->
+                        new ListRequest(loop, transport, server, uri, connectTimeoutMs, callback)::end);
     }
 
-    Discovery(EventLoop loop, Proxy proxy, InetSocketAddress address, Balancer.Settings settings, ListRequest.Maker requests) {
+    Discovery(EventLoop loop, Proxy proxy, InetSocketAddress address, Balancer.Settings settings, ListRequest.Factory requestFactory) {
         this.loop = loop;
         this.proxy = proxy;
-        this.requests = requests;
+        this.requestFactory = requestFactory;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
-        take(settings);
+        setTiming(settings);
     }
 
-    /** Takes other settings over. Where lists are pushed from now on nobody else asks: a module that was to ask again need not any more. */
+    /**
+     * Applies changed settings. If lists are pushed from now on, this opens the watch at once, because a balancer that intended to reopen
+     * it no longer does.
+     */
     void tune(Balancer.Settings settings) {
-        take(settings);
+        setTiming(settings);
         if (pushed) {
             watch(true);
         }
     }
 
-    private void take(Balancer.Settings settings) {
+    private void setTiming(Balancer.Settings settings) {
         pushed = !settings.limits().listMustBeAsked();
-        clock = new ListClock(pushed, settings.rules().askWithinUs() / 1_000);
+        timing = new ListCallTiming(pushed, settings.rules().askWithinUs() / 1_000);
     }
 
-    /** Returns whether a first call has ended, or was waited for long enough, and the list is the best there is. */
+    /** Returns whether the first call has ended or was waited for long enough, so that the proxy should serve with the list it has. */
     boolean settled() {
-        return settled;
+        return initialWaitOver;
     }
 
-    /** Takes in the list that this proxy had in its last life, if any; the module begins with this. */
+    /** Starts with the list of this proxy's previous run, null if there is none; it is the first list that the balancer gets. */
     void known(JsonNode list) {
         if (list != null) {
-            version = new ListVersion(version.life(), list.path("version").asLong(-1));
+            version = new ListVersion(version.epoch(), list.path("version").asLong(-1));
         }
-        loop.schedule(() -> settled = true, FIRST_ANSWER_MS, TimeUnit.MILLISECONDS);
-        proxy.members(ListKind.CACHED, list == null ? List.of() : entries(list));
+        loop.schedule(() -> initialWaitOver = true, INITIAL_WAIT_MS, TimeUnit.MILLISECONDS);
+        proxy.members(ListKind.CACHED, list == null ? List.of() : validEntries(list));
         if (pushed) {
             watch(true);
         }
     }
 
-    /** Begins the watch, or ends it. One that goes on already is left alone. */
+    /** Opens the watch or closes it; a watch that is open already continues unchanged. */
     void watch(boolean on) {
-        wanted = on;
-        if (!on && watch != null) {
-            watch.end();
-            watch = null;
-        } else if (on && watch == null) {
-            // The first call does not wait: what was missed comes at once, or the news that there is none.
-            watch = new LongPoll(true, 0);
+        watchWanted = on;
+        if (!on && watchCall != null) {
+            watchCall.end();
+            watchCall = null;
+        } else if (on && watchCall == null) {
+            // The first call does not wait for news, so that changes missed so far, or the fact that there are none, arrive at once.
+            watchCall = new HedgedCall(true, 0);
         }
     }
 
     /**
-     * Goes on at another address. The old one is about to hang up, so all that is asked there is ended and asked at the new one; this is
-     * asked for the whole list, whatever the old one has told.
+     * Continues at another address of discovery. The old one is about to close its connections, so open calls are ended and repeated at
+     * the new address, which is asked for the full list regardless of the current one.
      */
-    void moveTo(InetSocketAddress place) {
-        if (place.equals(address)) {
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = place;
-        version = version.forgotten();
-        boolean on = wanted;
+        address = newAddress;
+        version = version.startEpoch();
+        boolean watching = watchWanted;
         watch(false);
-        watch(on);
-        if (fetch != null) {
+        watch(watching);
+        if (fullListCall != null) {
             fetch();
         }
     }
 
-    /** Asks for the whole list, once. One that is asked for already may be older than this wish, so it is asked for anew. */
+    /** Requests the full list once. An open request is replaced, because its response may be older than this call. */
     void fetch() {
-        if (fetch != null) {
-            fetch.end();
+        if (fullListCall != null) {
+            fullListCall.end();
         }
-        fetch = new LongPoll(false, 0);
+        fullListCall = new HedgedCall(false, 0);
     }
 
-    private void failed(LongPoll poll, CallFailure failure) {
-        settled = true;
-        boolean watching = poll == watch;
+    private void onCallFailed(HedgedCall call, CallFailure failure) {
+        initialWaitOver = true;
+        boolean watching = call == watchCall;
         if (watching) {
-            watch = null;
+            watchCall = null;
         } else {
-            fetch = null;
+            fullListCall = null;
         }
-        failed();
-        long againMs = watching ? recall.recallMs(failure, random.nextDouble()) : RecallRule.BACK_OFF;
-        if (againMs != RecallRule.BACK_OFF) {
-            loop.schedule(() -> watch(wanted), againMs, TimeUnit.MILLISECONDS);
+        notifyOrRetryAgent();
+        long retryMs = watching ? retryPolicy.watchRetryMs(failure, random.nextDouble()) : DiscoveryRetryPolicy.USE_BACK_OFF;
+        if (retryMs != DiscoveryRetryPolicy.USE_BACK_OFF) {
+            loop.schedule(() -> watch(watchWanted), retryMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void answered(LongPoll poll, ListVersion asked, JsonNode list, long tookMs) {
-        settled = true;
-        recall.answered();
+    private void onListReceived(HedgedCall call, ListVersion atCallStart, JsonNode list, long tookMs) {
+        initialWaitOver = true;
+        retryPolicy.onValidResponse();
         long number = list.path("version").asLong();
         boolean full = list.path("full").asBoolean();
-        Verdict verdict = version.judge(asked, number, full);
-        boolean news = verdict == Verdict.TAKE && (number > version.number() && !list.path("servers").isEmpty());
+        Verdict verdict = version.judge(atCallStart, number, full);
+        boolean changed = verdict == Verdict.TAKE && (number > version.number() && !list.path("servers").isEmpty());
         if (verdict != Verdict.TAKE) {
             log.warn("list_out_of_order", "version", number, "full", full, "holding", version.number(), "verdict", verdict);
         }
         version = version.after(verdict, number);
-        List<Backends.Listed> entries = entries(list);
+        List<Backends.Listed> entries = validEntries(list);
         if (verdict == Verdict.TAKE && !full && entries.size() < list.path("servers").size()) {
-            // A change was lost, such as a drain: only the whole list makes up for it.
-            version = version.forgotten();
+            // A malformed entry is a lost change, which may have been a drain: only the full list can replace it.
+            version = version.startEpoch();
         }
-        if (poll != watch) {
-            fetch = null;
+        if (call != watchCall) {
+            fullListCall = null;
             if (verdict == Verdict.OVERTAKEN) {
                 fetch();
             }
-        } else if (news || tookMs >= poll.patience.waitMs() / 2 && verdict == Verdict.TAKE) {
-            // Before the news is taken in: a watch is over 200 ms after its last answer.
-            goOn(poll);
+        } else if (changed || tookMs >= call.schedule.waitMs() / 2 && verdict == Verdict.TAKE) {
+            // The next call starts before the changes are applied, because a watch counts as ended 200 ms after its last response.
+            continueWatch(call);
         } else {
-            // One that answers at once without any news would be asked as fast as the CPU allows.
-            loop.schedule(() -> goOn(poll), NO_NEWS_MS, TimeUnit.MILLISECONDS);
+            // Without a pause, a discovery that responds at once without changes would be called as fast as the CPU allows.
+            loop.schedule(() -> continueWatch(call), NO_CHANGE_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
         if (verdict == Verdict.TAKE || verdict == Verdict.TAKE_ANEW) {
-            starts.listed(proxy.now());
+            startTimes.listApplied(proxy.now());
             proxy.members(full ? ListKind.FULL : ListKind.DELTA, entries);
         }
     }
 
-    private void goOn(LongPoll answered) {
-        if (watch == answered) {
-            // The whole list is there at once.
-            watch = new LongPoll(true, version.held() ? clock.waitMs(answered.patience.waitMs() == 0, random.nextDouble()) : 0);
+    private void continueWatch(HedgedCall answeredCall) {
+        if (watchCall == answeredCall) {
+            // A call for the full list is answered at once, so it does not wait.
+            watchCall = new HedgedCall(true,
+                    version.hasList() ? timing.randomWaitMs(answeredCall.schedule.waitMs() == 0, random.nextDouble()) : 0);
         }
     }
 
-    /** Where the module has to ask, it decides when to ask again; an agent on the same machine is simply kept up. */
-    private void failed() {
+    /** Notifies the balancer, which decides when to call again; but if an agent on this machine pushes lists, reopens the watch soon. */
+    private void notifyOrRetryAgent() {
         if (pushed) {
-            loop.schedule(() -> watch(wanted), clock.agentRetryMs(), TimeUnit.MILLISECONDS);
+            loop.schedule(() -> watch(watchWanted), timing.agentRetryMs(), TimeUnit.MILLISECONDS);
         } else {
             proxy.members(ListKind.FAILED, List.of());
         }
     }
 
-    /** Returns the entries of a list that make sense. */
-    private List<Backends.Listed> entries(JsonNode list) {
+    /** Returns the valid entries of a list and logs the others. */
+    private List<Backends.Listed> validEntries(JsonNode list) {
         var listed = new ArrayList<Backends.Listed>();
         long now = proxy.now();
         for (JsonNode entry : list.path("servers")) {
-            starts.named(entry.path("started_ms").asLong(), now);
+            startTimes.observeStart(entry.path("started_ms").asLong(), now);
         }
         for (JsonNode entry : list.path("servers")) {
-            Backends.Listed line = line(entry, now);
-            if (line == null) {
+            Backends.Listed parsed = parseEntry(entry, now);
+            if (parsed == null) {
                 log.warn("entry_left_out", "reason", "malformed", "entry", entry);
             } else {
-                listed.add(line);
+                listed.add(parsed);
             }
         }
         return listed;
     }
 
-    private Backends.Listed line(JsonNode entry, long now) {
+    /** Parses an entry; returns null if it is malformed. */
+    private Backends.Listed parseEntry(JsonNode entry, long now) {
         Balancer.State state = STATES.get(entry.path("state").asText());
         InetSocketAddress address = Config.address(entry.path("addr").asText());
         String id = entry.path("id").asText();
@@ -225,95 +235,99 @@
         }
         return new Backends.Listed(new Balancer.Backend(id, state, entry.path("kind").asText(null),
                 entry.path("zone").asText(null), entry.path("cell").asInt(),
-                starts.localUs(id, entry.path("started_ms").asLong(), now), weight), address);
+                startTimes.onProxyClockUs(id, entry.path("started_ms").asLong(), now), weight), address);
     }
 
-    /** A call that may wait, and those made beside it while it says nothing: the first sound answer ends them all. */
-    private final class LongPoll {
+    /** One call to discovery with its parallel hedge calls; the first valid response ends all of them. */
+    private final class HedgedCall {
         private final boolean watching;
-        private final ListClock.Patience patience;
-        private final long beganNs = loop.ticker().nanoTime();
-        private final List<Runnable> ends = new ArrayList<>(1);
+        private final ListCallTiming.CallSchedule schedule;
+        private final long startedNs = loop.ticker().nanoTime();
+        private final List<Runnable> requestEnders = new ArrayList<>(1);
         private final List<Future<?>> timers = new ArrayList<>(1);
-        private int open;
-        /** How many calls could not be made here, one after the other, and since when. */
+        private int openRequests;
+        /** The number of consecutive requests that this machine could not make, and the time of the first. */
         private int localFailures;
-        private long localSinceNs;
-        /** How many calls beside the first have failed and were made again. */
-        private int replaced;
+        private long firstLocalFailureNs;
+        /** The number of failed hedge requests that were repeated. */
+        private int hedgeRetries;
         private boolean ended;
 
-        LongPoll(boolean watching, long waitMs) {
+        HedgedCall(boolean watching, long waitMs) {
             this.watching = watching;
-            patience = clock.patience(waitMs);
-            patience.againMs().forEach(at -> later(at, () -> {
-                log.warn("asked_again", "after_ms", at, "waiting_ms", waitMs);
-                call(0);
+            schedule = timing.schedule(waitMs);
+            schedule.hedgeAfterMs().forEach(afterMs -> runAfter(afterMs, () -> {
+                log.warn("asked_again", "after_ms", afterMs, "waiting_ms", waitMs);
+                sendRequest(0);
             }));
-            // Guards against a discovery that is cut off and says nothing, or whose answer never ends: TCP alone would never tell.
-            later(patience.giveUpMs(), () -> fail(CallFailure.UNREACHABLE, "no answer in time"));
-            call(waitMs);
+            // If discovery is cut off and silent, or its response never ends, TCP alone would never report it.
+            runAfter(schedule.timeoutMs(), () -> fail(CallFailure.UNREACHABLE, "no response within " + schedule.timeoutMs() + " ms"));
+            sendRequest(waitMs);
         }
 
-        private void later(long afterMs, Runnable what) {
-            timers.add(loop.schedule(what, afterMs, TimeUnit.MILLISECONDS));
+        private void runAfter(long delayMs, Runnable action) {
+            timers.add(loop.schedule(action, delayMs, TimeUnit.MILLISECONDS));
         }
 
-        private void call(long waitMs) {
-            boolean beside = open++ > 0;
-            ListVersion asked = version;
-            boolean changes = watching && asked.held();
-            String uri = changes ? PATH + "?from=" + asked.number() + "&hold_ms=" + waitMs : PATH;
-            ends.add(requests.make(address, uri, clock.connectMs(), new ListRequest.Callback() {
+        private void sendRequest(long waitMs) {
+            boolean isHedge = openRequests++ > 0;
+            ListVersion atCallStart = version;
+            boolean changesOnly = watching && atCallStart.hasList();
+            String uri = changesOnly ? PATH + "?from=" + atCallStart.number() + "&hold_ms=" + waitMs : PATH;
+            requestEnders.add(requestFactory.send(address, uri, timing.connectTimeoutMs(), new ListRequest.Callback() {
                 @Override
                 public void received(JsonNode list) {
-                    if (!changes && !list.path("full").asBoolean()) {
-                        failed(CallFailure.REJECTED, "the answer is no whole list");
+                    if (!changesOnly && !list.path("full").asBoolean()) {
+                        failed(CallFailure.REJECTED, "the response contains changes, but the full list was requested");
                     } else if (!ended) {
                         end();
-                        answered(LongPoll.this, asked, list, TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - beganNs));
+                        onListReceived(HedgedCall.this, atCallStart, list,
+                                TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - startedNs));
                     }
                 }
 
                 @Override
                 public void failed(CallFailure failure, String reason) {
-                    callFailed(failure, reason, beside, waitMs);
+                    onRequestFailed(failure, reason, isHedge, waitMs);
                 }
             }));
         }
 
-        /** All is lost only if no other call is open; but the first, if it is overdue, is likely silent, and no help. */
-        private void callFailed(CallFailure failure, String reason, boolean beside, long waitMs) {
-            open--;
-            long localRetryMs = failure == CallFailure.LOCAL ? localRetryMs() : RecallRule.BACK_OFF;
-            if (localRetryMs != RecallRule.BACK_OFF) {
-                log.warn("call_not_made", "reason", reason, "again_in_ms", localRetryMs);
-                later(localRetryMs, () -> call(waitMs));
-            } else if (open == 0) {
+        /**
+         * Handles a failed request. The call fails only if no other request is open. A failed hedge is repeated, because the first request,
+         * which is overdue by then, is probably silent.
+         */
+        private void onRequestFailed(CallFailure failure, String reason, boolean isHedge, long waitMs) {
+            openRequests--;
+            long retryMs = failure == CallFailure.LOCAL ? localRetryMs() : DiscoveryRetryPolicy.USE_BACK_OFF;
+            if (retryMs != DiscoveryRetryPolicy.USE_BACK_OFF) {
+                log.warn("call_not_made", "reason", reason, "again_in_ms", retryMs);
+                runAfter(retryMs, () -> sendRequest(waitMs));
+            } else if (openRequests == 0) {
                 fail(failure, reason);
-            } else if (beside) {
-                later(clock.replaceMs(replaced++, random.nextDouble()), () -> call(0));
+            } else if (isHedge) {
+                runAfter(timing.hedgeRetryMs(hedgeRetries++, random.nextDouble()), () -> sendRequest(0));
             }
         }
 
         private long localRetryMs() {
             long now = loop.ticker().nanoTime();
-            localSinceNs = localFailures == 0 ? now : localSinceNs;
-            return RecallRule.localRetryMs(localFailures++, TimeUnit.NANOSECONDS.toMillis(now - localSinceNs));
+            firstLocalFailureNs = localFailures == 0 ? now : firstLocalFailureNs;
+            return DiscoveryRetryPolicy.localRetryMs(localFailures++, TimeUnit.NANOSECONDS.toMillis(now - firstLocalFailureNs));
         }
 
         private void fail(CallFailure failure, String reason) {
             if (!ended) {
                 end();
                 log.warn("call_failed", "kind", failure, "reason", reason, "version", version.number());
-                Discovery.this.failed(this, failure);
+                onCallFailed(this, failure);
             }
         }
 
         void end() {
             ended = true;
-            timers.forEach(t -> t.cancel(false));
-            ends.forEach(Runnable::run);
+            timers.forEach(timer -> timer.cancel(false));
+            requestEnders.forEach(Runnable::run);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/FleetSide.java
+++ b/proxy/src/main/java/walkpost/proxy/FleetSide.java
@@ -3,39 +3,40 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * What the rest of a proxy may do with the fleet, in words of its own: where the fleet is off nothing of it is loaded. A call's stage ends
- * with the whole line for its caller, on any thread.
+ * Gives the rest of the proxy access to the fleet without using the fleet's classes, so that none of them is loaded if the fleet is off.
+ * Any thread may call. The stage that a call returns completes, on any thread, with the whole line that answers the operator.
  */
 interface FleetSide {
     /**
-     * What a proxy tells the others of itself.
+     * The status that a proxy publishes to the other members.
      *
-     * @param open requests that want an answer or have attempts out
-     * @param servers tile servers that it may send to
-     * @param version of the program
+     * @param ready whether the proxy is ready for clients
+     * @param open the number of requests without a response or with attempts in progress
+     * @param servers the number of tile servers that the proxy may send to
+     * @param version the version of the program
      */
     record Condition(boolean ready, int open, int servers, String version) { }
 
-    /** Tells who is a member, as this one sees it, and what was counted. */
+    /** Returns the members as this one sees them, and its counters. */
     CompletionStage<String> fleet();
 
-    /** Tells which orders stand. */
+    /** Returns the orders in force. */
     CompletionStage<String> orders();
 
-    /** Tells the facts of a topic. */
+    /** Returns the entries of a topic. */
     CompletionStage<String> facts(String topic);
 
-    /** Tells by how many an order on a tile server is held, or what has come after it, and names some that lack it. */
-    CompletionStage<String> held(String server, String id);
+    /** Returns how many members have an order on a tile server, or a later one, and the names of some that lack it. */
+    CompletionStage<String> held(String server, String orderId);
 
     /**
-     * Orders a tile server out of all proxies, or back.
+     * Issues an order that excludes a tile server from all proxies, or includes it again.
      *
-     * @param id the caller's own, unique: sent again it is carried out once
-     * @param replaces the id of the order that it is to replace, {@code -} for the first, null for whatever stands
+     * @param orderId the caller's own id, unique: an order that is sent again is carried out once
+     * @param replaces the id of the order to replace, {@code -} if it must be the first on this server, null to replace any order in force
      */
-    CompletionStage<String> order(String server, boolean out, String id, String replaces);
+    CompletionStage<String> order(String server, boolean out, String orderId, String replaces);
 
-    /** Says good-bye to the other members. */
+    /** Leaves the fleet and notifies the other members. */
     void close();
 }
--- /dev/null
+++ b/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
@@ -0,0 +1,142 @@
+package walkpost.proxy;
+
+import java.util.List;
+
+/**
+ * Computes when the proxy calls discovery for the list of servers: how long a call may wait for news, when a call without a response is
+ * repeated in parallel (hedged), when it times out, and how soon failed calls are repeated. Immutable and without I/O; all times are in
+ * milliseconds.
+ *
+ * <p>The protocol sets the deadline: a change that a silent watch misses counts as published 6 s after the watch fell silent, or 2 s after
+ * the end of its wait if that is later, whether or not it arrived (STANDING, "One clock for silence"). Before the end of its wait a silent
+ * watch cannot be told apart from one without news. So waits are short, and as soon as a wait is over the list is requested again, in
+ * parallel to the silent call, which may only be late. The first valid response ends the other calls. There are two such hedge calls,
+ * because the first may fall silent too.
+ *
+ * <p>After a call that was refused, failed or timed out, a change counts as published 6 s after discovery had it and was reachable.
+ * Discovery may become reachable right after the last failing step began, so each row of this table, in seconds, must sum up to at
+ * most 6 s if the list is requested from a service. The back-off is the balancer's ({@link walkpost.BackOff}), at most 2.4 s; a response
+ * takes 1.5 s if a hundred proxies call at once:
+ * <pre>
+ * last step before discovery became reachable       until it ends   back-off   next call     response   sum
+ * refused, 503, or broken off at once                         0.0        2.4           -          1.5   3.9
+ * connection not established in time                          1.0        2.4           -          1.5   4.9
+ * response broken off, or 503 after 2 s in the queue          2.0        2.4           -          1.5   5.9
+ * last of three calls, the other two silent                   2.0        2.4           -          1.5   5.9
+ * the same for a call that waited                             2.05       2.4           -          1.5   5.95
+ * back-off, followed by a silent call                           -        2.4         2.0          1.5   5.9
+ * silence, or a response that never ends                        -          -         2.0          1.5   3.5
+ * the same twice in a row                                       -          -         4.0          1.5   5.5
+ * the same for a call that waits, 3.5 s                         -          -         4.1          1.5   5.6
+ * </pre>
+ * If the hedge call of a silent call falls silent as well, the next one follows 1.95 s later, and a change missed by the second silence
+ * counts 6 s after it: 3.5 s are needed. A change missed by the first silence is then late by up to 1.6 s, for waits over 2.4 s. This is
+ * accepted: no day has two silences in a row, and calling sooner had calls rejected on days with one silence (brink 10,
+ * {@code docs/findings/acceptance.md}).
+ */
+final class ListCallTiming {
+    /** The times of one call: how long it waits, when to start each hedge call, and when to give up; the last two from its start. */
+    record CallSchedule(long waitMs, List<Long> hedgeAfterMs, long timeoutMs) { }
+
+    /**
+     * A watch calls this many times within the period in which the settings require one call of each proxy, which a shared service can
+     * bear. With five, 66 calls of 60 proxies that started at once were answered by 503 when their first waits ended.
+     */
+    private static final long CALLS_PER_REQUIRED_PERIOD = 3;
+    /** Shorter waits gain nothing, because changes are already seconds old when they are listed. */
+    private static final long MIN_WAIT_MS = 1_000;
+    /** Together with the hedge call and a slow response, this stays within the 6 s of the protocol. */
+    private static final long MAX_WAIT_MS = 3_500;
+    /** How long after the end of its wait a call is hedged. A slow service should not get a second call; at least 2 s are left for it. */
+    private static final long HEDGE_AFTER_WAIT_MS = 600;
+    /** An agent on the same machine has no queue, so the second hedge call follows soon. */
+    private static final long AGENT_SECOND_HEDGE_AFTER_WAIT_MS = 1_250;
+    private static final long AGENT_TIMEOUT_AFTER_WAIT_MS = 3_300;
+    /**
+     * A service takes calls in turn and answers each within 2 s or rejects it. If all watches fall silent at once, their hedge calls queue
+     * behind one another, and a second hedge call of the same proxy has both rejected; so it starts only after the first has had its turn.
+     */
+    private static final long SERVICE_SECOND_HEDGE_AFTER_WAIT_MS = 2_550;
+    /** Late enough that the call does not time out just before the last hedge call has had its turn. */
+    private static final long SERVICE_TIMEOUT_AFTER_WAIT_MS = 4_600;
+    /**
+     * A hedge call that fails is repeated after 100 to 200 ms, at random so that proxies do not call in step; the delay doubles with each
+     * failure, so that calls rejected because discovery has too many callers do not add to the load.
+     */
+    private static final long HEDGE_RETRY_MS = 100;
+    private static final int MAX_HEDGE_RETRY_DOUBLINGS = 4;
+    /**
+     * A service shared by all proxies takes their calls in turn, as after a mass start, and ends calls that waited too long itself. A call
+     * that need not wait for news is silent only after that time, and a change it misses counts 6 s after its start.
+     */
+    private static final long SERVICE_NO_WAIT_HEDGE_MS = 2_000;
+    private static final long SERVICE_NO_WAIT_SECOND_HEDGE_MS = 4_000;
+    private static final long SERVICE_NO_WAIT_TIMEOUT_MS = 6_000;
+    /** An agent on the same machine is reachable at once or not at all, and its changes count at once. */
+    private static final int AGENT_CONNECT_TIMEOUT_MS = 200;
+    private static final int SERVICE_CONNECT_TIMEOUT_MS = 1_000;
+    private static final long AGENT_RETRY_MS = 100;
+
+    private final boolean pushed;
+    private final long maxWaitMs;
+
+    /**
+     * Creates the timing for one configuration.
+     *
+     * @param pushed whether an agent on this machine pushes lists; if not, they are requested from a service that all proxies share
+     * @param askWithinMs the period in which a proxy without a watch must request the list once
+     */
+    ListCallTiming(boolean pushed, long askWithinMs) {
+        this.pushed = pushed;
+        this.maxWaitMs = Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, askWithinMs / CALLS_PER_REQUIRED_PERIOD));
+    }
+
+    /** Returns the longest time that a call of the watch may wait for news. */
+    long maxWaitMs() {
+        return maxWaitMs;
+    }
+
+    /**
+     * Returns how long a call of the watch waits for news, at random because all proxies start together and must not call in step.
+     *
+     * @param first whether this is the first call that waits: the first waits of a fleet that started at once are spread over the whole
+     *              range, later ones over its last quarter
+     * @param draw a random number of this proxy from 0 to 1
+     */
+    long randomWaitMs(boolean first, double draw) {
+        double minFraction = first ? 1.0 / 8 : 3.0 / 4;
+        return (long) (maxWaitMs * (minFraction + (1 - minFraction) * draw));
+    }
+
+    /** Returns the schedule of a call that waits up to {@code waitMs} for news; 0 if it is answered at once. */
+    CallSchedule schedule(long waitMs) {
+        if (pushed) {
+            return new CallSchedule(waitMs, List.of(waitMs + HEDGE_AFTER_WAIT_MS, waitMs + AGENT_SECOND_HEDGE_AFTER_WAIT_MS),
+                    waitMs + AGENT_TIMEOUT_AFTER_WAIT_MS);
+        }
+        return waitMs == 0
+                ? new CallSchedule(0, List.of(SERVICE_NO_WAIT_HEDGE_MS, SERVICE_NO_WAIT_SECOND_HEDGE_MS), SERVICE_NO_WAIT_TIMEOUT_MS)
+                : new CallSchedule(waitMs, List.of(waitMs + HEDGE_AFTER_WAIT_MS, waitMs + SERVICE_SECOND_HEDGE_AFTER_WAIT_MS),
+                        waitMs + SERVICE_TIMEOUT_AFTER_WAIT_MS);
+    }
+
+    /**
+     * Returns the delay before a failed hedge call is repeated. It is short because changes that the silent call misses count soon.
+     *
+     * @param earlierRetries how many hedge calls of the same silent call have been repeated already
+     * @param draw a random number of this proxy from 0 to 1
+     */
+    long hedgeRetryMs(int earlierRetries, double draw) {
+        return (long) ((HEDGE_RETRY_MS << Math.min(earlierRetries, MAX_HEDGE_RETRY_DOUBLINGS)) * (1 + draw));
+    }
+
+    /** Returns the connect time-out. */
+    int connectTimeoutMs() {
+        return pushed ? AGENT_CONNECT_TIMEOUT_MS : SERVICE_CONNECT_TIMEOUT_MS;
+    }
+
+    /** Returns the delay before a failed agent is called again: it is on this machine, and its changes count from its return on. */
+    long agentRetryMs() {
+        return AGENT_RETRY_MS;
+    }
+}
--- a/proxy/src/main/java/walkpost/proxy/ListRequest.java
+++ b/proxy/src/main/java/walkpost/proxy/ListRequest.java
@@ -26,60 +26,65 @@
 import java.net.InetSocketAddress;
 
 /**
- * One request to discovery, on a connection of its own: a few in a minute are not worth keeping any. It holds one descriptor and at most
- * {@link #MAX_ANSWER}, and has no clock but for its connection: who made it ends it in time, however slowly its answer comes.
+ * Sends one request for the list of servers to discovery, on a connection of its own: with a few requests a minute, keeping connections
+ * open gains nothing. It uses one descriptor and at most {@link #MAX_RESPONSE_BYTES} of memory. Only the connect has a time-out; the
+ * caller must end a request whose response takes too long. Used on the event loop only.
  */
 final class ListRequest extends SimpleChannelInboundHandler<FullHttpResponse> {
-    /** Hears once how a request ended, and nothing after {@link #end}. */
+    /** Is notified once, on the event loop, of how a request ended; never after {@link #end}. */
     interface Callback {
-        /** A sound list has come, of which only the entries are still to be looked at. */
+        /** A list has been received whose outer fields are valid; its entries are not checked yet. */
         void received(JsonNode list);
 
-        /** There will be no list; {@code reason} is for the log. */
+        /** The request has failed; {@code reason} is for the log. */
         void failed(CallFailure failure, String reason);
     }
 
-    /** Makes requests; each is ended by what is returned. */
-    interface Maker {
-        Runnable make(InetSocketAddress address, String uri, int connectMs, Callback callback);
+    /** Sends requests. */
+    interface Factory {
+        /** Sends a request; returns an action that ends it. */
+        Runnable send(InetSocketAddress address, String uri, int connectTimeoutMs, Callback callback);
     }
 
-    /** In bytes; one that grows past this has failed, and what has come of it is given back. */
-    static final int MAX_ANSWER = 8 * 1024 * 1024;
+    /** A longer response counts as failed, and the part received is released. */
+    static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
     private final InetSocketAddress address;
     private final String uri;
     private final Callback callback;
     private final Channel channel;
-    private boolean answerBegun;
+    private boolean responseStarted;
     private boolean ended;
 
-    ListRequest(EventLoop loop, ChannelFactory<Channel> transport, InetSocketAddress address, String uri, int connectMs, Callback callback) {
+    ListRequest(EventLoop loop, ChannelFactory<Channel> transport, InetSocketAddress address, String uri, int connectTimeoutMs,
+            Callback callback) {
         this.address = address;
         this.uri = uri;
         this.callback = callback;
         ChannelFuture connect = new Bootstrap().group(loop).channelFactory(transport)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new AnswerStart(), new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER), ListRequest.this);
+                    protected void initChannel(Channel newChannel) {
+                        newChannel.pipeline().addLast(new ResponseStartDetector(), new HttpClientCodec(),
+                                new HttpObjectAggregator(MAX_RESPONSE_BYTES), ListRequest.this);
                     }
                 }).connect(address);
         channel = connect.channel();
-        connect.addListener(f -> {
-            if (!f.isSuccess()) {
-                // Without a descriptor the news come at once, from another thread.
-                loop.execute(() -> fail(CallFailure.ofConnect(f.cause()), "no connection: " + f.cause().getMessage()));
+        connect.addListener(connected -> {
+            if (!connected.isSuccess()) {
+                // If no descriptor is available this listener runs at once, and not on the event loop.
+                loop.execute(() -> fail(CallFailure.ofConnect(connected.cause()),
+                        "connecting to discovery failed: " + connected.cause().getMessage()));
             }
         });
     }
 
-    /** Notices the first bytes of an answer. */
-    private final class AnswerStart extends ChannelInboundHandlerAdapter {
+    /** Records that the first bytes of the response have arrived. */
+    private final class ResponseStartDetector extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            answerBegun = true;
+            responseStarted = true;
             super.channelRead(ctx, message);
         }
     }
@@ -95,7 +100,8 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
         if (!response.status().equals(HttpResponseStatus.OK) || response.decoderResult().isFailure()) {
-            fail(response.decoderResult().isFailure() ? CallFailure.BROKEN_ANSWER : CallFailure.REJECTED, "answer " + response.status());
+            fail(response.decoderResult().isFailure() ? CallFailure.BROKEN_ANSWER : CallFailure.REJECTED,
+                    "HTTP status " + response.status());
             return;
         }
         try (InputStream body = new ByteBufInputStream(response.content())) {
@@ -104,25 +110,25 @@
                     && list.path("servers").isArray()) {
                 receive(list);
             } else {
-                fail(CallFailure.REJECTED, "the answer is no list");
+                fail(CallFailure.REJECTED, "the response is JSON but not a list: expected 'version' (0 or more), 'full' and 'servers'");
             }
         } catch (IOException e) {
-            fail(CallFailure.BROKEN_ANSWER, "the answer is not JSON");
+            fail(CallFailure.BROKEN_ANSWER, "the response is not valid JSON");
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        broke("the connection broke");
+        onConnectionLost("discovery closed the connection before the end of the response");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        broke(cause.toString());
+        onConnectionLost(cause.toString());
     }
 
-    private void broke(String reason) {
-        fail(answerBegun ? CallFailure.BROKEN_ANSWER : CallFailure.ENDED_UNANSWERED, reason);
+    private void onConnectionLost(String reason) {
+        fail(responseStarted ? CallFailure.BROKEN_ANSWER : CallFailure.ENDED_UNANSWERED, reason);
     }
 
     private void receive(JsonNode list) {
@@ -139,6 +145,7 @@
         }
     }
 
+    /** Closes the connection and drops any result. */
     void end() {
         ended = true;
         Channels.close(channel);
--- a/proxy/src/main/java/walkpost/proxy/ListVersion.java
+++ b/proxy/src/main/java/walkpost/proxy/ListVersion.java
@@ -1,67 +1,69 @@
 package walkpost.proxy;
 
 /**
- * Which list is held: the rule for versions, and nothing else. Immutable.
+ * Identifies the version of the list of servers that this proxy has, and decides whether a response replaces it. Immutable.
  *
- * <p>Versions rise as long as one discovery lives. They can be compared only within such a life: one that has begun anew, or that
- * stands at another address, counts from elsewhere. A call that is answered late may bring a list that was overtaken meanwhile; taken,
- * it would give a draining backend back. So each call keeps what was held when it was made, and its answer is judged by that.
+ * <p>Version numbers rise while one discovery process runs. They can be compared only within one such epoch, because a discovery that
+ * restarts, or one at another address, counts from a different number. A late response may contain a list that a newer one has replaced
+ * meanwhile; applying it would bring a draining server back. So each call records the version at its start, and its response is compared
+ * with that.
  *
- * @param life counts the lives of discovery that this proxy has followed, each at one address
- * @param number discovery's own number of the list that is held; below 0 where none is, and the whole list has to be asked for
+ * @param epoch counts the discovery processes that this proxy has followed, each at one address
+ * @param number discovery's number of the list that this proxy has; negative if it has none and must request the full list
  */
-record ListVersion(int life, long number) {
-    /** What becomes of an answer. */
+record ListVersion(int epoch, long number) {
+    /** What to do with a response. */
     enum Verdict {
-        /** It is as new as what is held, or newer. */
+        /** Apply it: it is as new as the current list, or newer. */
         TAKE,
-        /** Something newer came while it was on its way, or it comes from an earlier life: what is held is better. */
+        /** Drop it: a newer list arrived while the call was open, or the call belongs to an earlier epoch. */
         OVERTAKEN,
-        /** Nothing came meanwhile, and yet it is older: discovery has begun anew, and this is its whole list. */
+        /** Apply it in a new epoch: it is older although no list arrived meanwhile, so discovery has restarted; this is its full list. */
         TAKE_ANEW,
-        /** The same, but these are changes to a list that this proxy has never had: the whole one has to be asked for. */
+        /** Request the full list: discovery has restarted, and the response contains changes to a list that this proxy does not have. */
         ASK_WHOLE
     }
 
-    /** Nothing is held yet. */
+    /** The version of a proxy without a list. */
     static final ListVersion NONE = new ListVersion(0, -1);
 
-    boolean held() {
+    /** Returns whether this proxy has a list. */
+    boolean hasList() {
         return number >= 0;
     }
 
     /**
-     * Judges an answer by what is held now.
+     * Compares a response with this version, the current one.
      *
-     * @param asked what was held when the call was made
-     * @param answer the version of the answer
-     * @param full whether it is a whole list, and no changes
+     * @param atCallStart the version that was current when the call started
+     * @param responseNumber the version number in the response
+     * @param full whether the response contains the full list, not changes
      */
-    Verdict judge(ListVersion asked, long answer, boolean full) {
-        if (asked.life != life) {
+    Verdict judge(ListVersion atCallStart, long responseNumber, boolean full) {
+        if (atCallStart.epoch != epoch) {
             return Verdict.OVERTAKEN;
         }
-        if (answer >= number) {
+        if (responseNumber >= number) {
             return Verdict.TAKE;
         }
-        if (asked.number < number) {
+        if (atCallStart.number < number) {
             return Verdict.OVERTAKEN;
         }
         return full ? Verdict.TAKE_ANEW : Verdict.ASK_WHOLE;
     }
 
-    /** Returns what is held after an answer so judged. */
-    ListVersion after(Verdict verdict, long answer) {
+    /** Returns the version that is current after a response with this verdict. */
+    ListVersion after(Verdict verdict, long responseNumber) {
         return switch (verdict) {
-            case TAKE -> new ListVersion(life, answer);
+            case TAKE -> new ListVersion(epoch, responseNumber);
             case OVERTAKEN -> this;
-            case TAKE_ANEW -> new ListVersion(life + 1, answer);
-            case ASK_WHOLE -> forgotten();
+            case TAKE_ANEW -> new ListVersion(epoch + 1, responseNumber);
+            case ASK_WHOLE -> startEpoch();
         };
     }
 
-    /** Another life begins, of which nothing is held; whatever the one before has still to say does not count. */
-    ListVersion forgotten() {
-        return new ListVersion(life + 1, -1);
+    /** Returns the version at the start of a new epoch, without a list, so that responses to earlier calls are dropped. */
+    ListVersion startEpoch() {
+        return new ListVersion(epoch + 1, -1);
     }
 }
--- /dev/null
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
@@ -0,0 +1,277 @@
+package walkpost.proxy;
+
+import walkpost.Balancer.Outcome;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.socket.ChannelInputShutdownEvent;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpStatusClass;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.handler.timeout.IdleStateEvent;
+
+/**
+ * Handles the inbound side of one connection to a server. The connection is either idle, with no attempt, or carries exactly one
+ * attempt, whose response is awaited, buffered, or relayed to the client. The end of the response ends the attempt. All methods run on
+ * the event loop.
+ */
+final class ServerConnectionHandler extends SimpleChannelInboundHandler<HttpObject> implements BodyRelay.Source {
+    private final Backends.Endpoint endpoint;
+    private final Buffers buffers;
+    private final ServerResponseDecoder decoder = new ServerResponseDecoder(this::isResponseExpected);
+    private Channel channel;
+    private Backends.Attempt attempt;
+    /** The head of the current response; null until it has been read. */
+    private HttpResponse responseHead;
+    /** The part of the body read so far, if the body is buffered and not relayed. */
+    private ByteBuf bufferedBody = Unpooled.EMPTY_BUFFER;
+    /** Passes a long body on while it is read; null if the body is buffered. */
+    private BodyRelay relay;
+    private HttpHeaders trailers;
+    /** True if bytes of the response arrived before the request was written completely. */
+    private boolean arrivedBeforeRequestWasSent;
+    /** True from the head of an interim (1xx) response to its end. */
+    private boolean inInterimResponse;
+    /** Whether the part of the response that was read last is valid HTTP/1. */
+    private boolean valid;
+    /** True if the rest of the response is not needed; the response is delivered when the read in progress is complete. */
+    private boolean done;
+    private boolean failed;
+
+    ServerConnectionHandler(Backends.Endpoint endpoint, Buffers buffers) {
+        this.endpoint = endpoint;
+        this.buffers = buffers;
+    }
+
+    ServerResponseDecoder decoder() {
+        return decoder;
+    }
+
+    /** Assigns the attempt that the next response on this connection belongs to. */
+    void assign(Backends.Attempt next) {
+        attempt = next;
+    }
+
+    @Override
+    public void handlerAdded(ChannelHandlerContext ctx) {
+        channel = ctx.channel();
+    }
+
+    private boolean isResponseExpected() {
+        arrivedBeforeRequestWasSent |= attempt != null && !attempt.mayHaveRun();
+        return attempt != null;
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+        if (failed) {
+            return;
+        }
+        if (message instanceof HttpResponse response) {
+            if (attempt == null || done) {
+                // A response without a request: nothing that follows on this connection can be matched to a request.
+                channel.close();
+            } else if (!updateInterim(response)) {
+                onHead(response);
+            }
+        }
+        if (message instanceof HttpContent content) {
+            onContent(content);
+        }
+    }
+
+    private boolean updateInterim(HttpResponse response) {
+        inInterimResponse = response.status().codeClass() == HttpStatusClass.INFORMATIONAL && isSupported(response);
+        return inInterimResponse;
+    }
+
+    private void onHead(HttpResponse response) {
+        responseHead = response;
+        valid = isSupported(response);
+        if (attempt.mayHaveRun() ? arrivedBeforeRequestWasSent : outcome() != Outcome.FULL) {
+            // A server answers an incomplete request only to reject it, so this response does not belong to the request.
+            responseHead = null;
+            attempt.abort(attempt.mayHaveRun() ? Outcome.ERROR : Outcome.CONNECT_FAILED);
+            return;
+        }
+        if (!valid) {
+            done = true;
+        } else if (HttpUtil.getContentLength(response, 0L) > Backends.MAX_BODY) {
+            startRelay();
+        }
+    }
+
+    /** Starts to relay a response whose body is too long to be buffered. */
+    private void startRelay() {
+        if (outcome() != Outcome.OK) {
+            // Only the status of such a response is used.
+            done = true;
+            return;
+        }
+        relay = new BodyRelay(bufferedBody, this, buffers);
+        bufferedBody = Unpooled.EMPTY_BUFFER;
+        attempt.beginStreamedResponse(
+                new Backends.Stream(responseHead.headers(), HttpUtil.getContentLength(responseHead, -1L), relay));
+    }
+
+    private void onContent(HttpContent content) {
+        boolean last = content instanceof LastHttpContent;
+        if (inInterimResponse || responseHead == null || done) {
+            arrivedBeforeRequestWasSent &= !inInterimResponse;
+            inInterimResponse &= !last;
+            return;
+        }
+        valid = content.decoderResult().isSuccess();
+        int bytes = content.content().readableBytes();
+        if (valid && relay == null && bytes > 0 && (bufferedBody.readableBytes() + bytes > Backends.MAX_BODY || buffers.full())) {
+            startRelay();
+        }
+        if (valid && relay != null) {
+            relay.add(content.content().retain());
+        } else if (valid && !done) {
+            bufferedBody = Headers.gather(bufferedBody, content.content(), channel.alloc(), buffers);
+        }
+        if (last && valid) {
+            trailers = ((LastHttpContent) content).trailingHeaders();
+        }
+        done |= last || !valid;
+    }
+
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
+        deliverResponse();
+        super.channelReadComplete(ctx);
+    }
+
+    /**
+     * Delivers the response once everything that arrived with it has been read: the next attempt may use this same connection and would
+     * otherwise be given bytes that the server sent after this response.
+     */
+    private void deliverResponse() {
+        if (!done || attempt == null) {
+            return;
+        }
+        Backends.Attempt finishedAttempt = attempt;
+        Outcome outcome = outcome();
+        HttpHeaders headers = responseHead.headers();
+        ByteBuf wholeBody = bufferedBody;
+        BodyRelay finishedRelay = relay;
+        boolean reusable = trailers != null && finishedAttempt.mayHaveRun() && HttpUtil.isKeepAlive(responseHead)
+                && channel.isActive() && decoder.isClear();
+        HttpHeaders finalTrailers = trailers;
+        reset();
+        // The connection returns to the pool before the balancer is notified, because the balancer's next attempt may use it.
+        if (reusable) {
+            endpoint.returnToPool(channel);
+        } else {
+            channel.close();
+        }
+        buffers.letGo(wholeBody.readableBytes());
+        if (finishedRelay != null && finalTrailers != null) {
+            finishedRelay.end(finalTrailers);
+            finishedAttempt.end(Outcome.OK, null);
+        } else if (finishedRelay != null) {
+            finishedRelay.breakOff();
+            finishedAttempt.end(Outcome.RESET, null);
+        } else if (outcome == Outcome.OK) {
+            finishedAttempt.end(outcome, new Backends.Answer(headers, wholeBody));
+        } else {
+            wholeBody.release();
+            finishedAttempt.end(outcome, null);
+        }
+    }
+
+    private void reset() {
+        attempt = null;
+        responseHead = null;
+        bufferedBody = Unpooled.EMPTY_BUFFER;
+        relay = null;
+        trailers = null;
+        arrivedBeforeRequestWasSent = false;
+        done = false;
+    }
+
+    /** Returns whether a response is valid HTTP/1. The proxy never asks for a protocol switch, and what follows one is not HTTP/1. */
+    private static boolean isSupported(HttpResponse response) {
+        return response.decoderResult().isSuccess() && response.protocolVersion().majorVersion() == 1
+                && !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
+    }
+
+    private Outcome outcome() {
+        int status = responseHead.status().code();
+        if (valid && status == 200) {
+            return Outcome.OK;
+        }
+        boolean rejected = (status == 503 || status == 504) && "1".equals(responseHead.headers().get(Headers.NOT_PROCESSED));
+        return valid && rejected ? Outcome.FULL : Outcome.ERROR;
+    }
+
+    @Override
+    public void reading(boolean on) {
+        channel.config().setAutoRead(on);
+    }
+
+    @Override
+    public void unwanted() {
+        if (attempt != null) {
+            attempt.abort(Outcome.CANCELLED);
+        }
+    }
+
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) throws Exception {
+        if (attempt != null) {
+            attempt.resumeSending();
+        }
+        super.channelWritabilityChanged(ctx);
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) throws Exception {
+        endpoint.onConnectionClosed(channel);
+        deliverResponse();
+        Backends.Attempt interruptedAttempt = attempt;
+        BodyRelay interruptedRelay = relay;
+        buffers.letGo(bufferedBody.readableBytes());
+        bufferedBody.release();
+        reset();
+        if (interruptedRelay != null) {
+            interruptedRelay.breakOff();
+        }
+        if (interruptedAttempt != null) {
+            interruptedAttempt.end(interruptedAttempt.mayHaveRun() ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+        }
+        super.channelInactive(ctx);
+    }
+
+    @Override
+    public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
+        if (event instanceof IdleStateEvent) {
+            // An attempt has a time-out of its own, but a relayed body in either direction has only this idle time-out.
+            boolean serverIsSilent = relay != null && channel.config().isAutoRead();
+            boolean requestIsBlocked = attempt != null && attempt.isSendBlocked();
+            if (attempt == null || serverIsSilent || requestIsBlocked) {
+                ctx.close();
+            }
+        }
+        if (event instanceof ChannelInputShutdownEvent) {
+            // The decoder has seen this event already, so a response that ends with the connection is complete by now.
+            ctx.close();
+        }
+        super.userEventTriggered(ctx, event);
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        // The decoder may still emit an end of the response when the connection closes; it must not count as a complete response.
+        failed = true;
+        ctx.close();
+    }
+}
--- a/proxy/src/main/java/walkpost/proxy/ServerStartTimes.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerStartTimes.java
@@ -4,57 +4,60 @@
 import java.util.Map;
 
 /**
- * Tells when servers started, on the proxy's own clock. Lists tell it in Unix time, and the wall clock of this machine, which the proxy's
- * clock began with, may have been set wrong: an hour ahead, a server that has just started would be taken for warm; an hour behind, it
- * would be held for cold until the hour is over. Three things are known without that clock: no server starts in the future; one that a
- * list did not name started after that list was drawn up; and what was told of a start once stays as it was. Pure; times are in
- * microseconds where not said otherwise.
+ * Converts the start times of servers from the Unix time of the lists to the proxy's own clock. The proxy's clock started from this
+ * machine's wall clock, which may have been wrong: if it was an hour ahead, a server that has just started would be treated as warm; if it
+ * was an hour behind, as cold until the hour is over. Three rules hold without that clock: no server starts in the future; a server that
+ * was missing from a list started after that list was made; and a start time, once converted, does not change. Not thread-safe, without
+ * I/O; times are in microseconds unless their name says otherwise.
  */
 final class ServerStartTimes {
-    /** How long after its start a server may be missing from the lists. */
-    static final long LISTED_LATE_US = 10_000_000;
-    /** So many starts are kept in mind, those not listed for the longest time dropped first: 100 B each. */
-    private static final int MOST_KNOWN = 16_384;
+    /** How long after its start a server may still be missing from the lists. */
+    static final long MAX_LISTING_DELAY_US = 10_000_000;
+    /** The number of start times remembered, at 100 B each; those not listed for the longest time are dropped first. */
+    private static final int MAX_REMEMBERED_STARTS = 16_384;
 
-    private record Start(long unixMs, long localUs) { }
+    private record StartTime(long unixMs, long proxyClockUs) { }
 
-    private final Map<String, Start> known = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, StartTime> startTimesById = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Start> eldest) {
-            return size() > MOST_KNOWN;
+        protected boolean removeEldestEntry(Map.Entry<String, StartTime> eldest) {
+            return size() > MAX_REMEMBERED_STARTS;
         }
     };
-    /** By how much the clock of the lists is surely ahead of the proxy's. */
-    private long aheadUs;
-    private long lastListUs = Long.MIN_VALUE / 2;
+    /** The minimum by which the clock of the lists is known to be ahead of the proxy's clock. */
+    private long listClockAheadUs;
+    private long lastListAtUs = Long.MIN_VALUE / 2;
 
-    /** A list names a start at a Unix time, in milliseconds: the clock of the lists is past it. To be called before its entries are asked for. */
-    void named(long unixMs, long nowUs) {
-        aheadUs = Math.max(aheadUs, unixMs * 1_000 - nowUs);
+    /**
+     * Records that a list contains a start at this Unix time, which shows that the clock of the lists is past it. Must be called for all
+     * entries of a list before {@link #onProxyClockUs} is called for any of them.
+     */
+    void observeStart(long unixMs, long nowUs) {
+        listClockAheadUs = Math.max(listClockAheadUs, unixMs * 1_000 - nowUs);
     }
 
     /**
-     * Returns when a server started, on the proxy's clock; 0 for long ago.
+     * Returns when a server started, on the proxy's clock; 0 if the list has no start time, which counts as long ago.
      *
-     * @param unixMs its start as the list has it, in milliseconds of Unix time
+     * @param unixMs the server's start in the list, in milliseconds of Unix time
      */
-    long localUs(String id, long unixMs, long nowUs) {
+    long onProxyClockUs(String id, long unixMs, long nowUs) {
         if (unixMs <= 0) {
             return 0;
         }
-        Start start = known.get(id);
-        if (start == null || start.unixMs() != unixMs) {
-            long byClock = Math.min(nowUs, unixMs * 1_000 - aheadUs);
-            start = new Start(unixMs, Math.max(1, Math.max(byClock, lastListUs - LISTED_LATE_US)));
-            known.put(id, start);
+        StartTime startTime = startTimesById.get(id);
+        if (startTime == null || startTime.unixMs() != unixMs) {
+            long byListClockUs = Math.min(nowUs, unixMs * 1_000 - listClockAheadUs);
+            startTime = new StartTime(unixMs, Math.max(1, Math.max(byListClockUs, lastListAtUs - MAX_LISTING_DELAY_US)));
+            startTimesById.put(id, startTime);
         }
-        return start.localUs();
+        return startTime.proxyClockUs();
     }
 
-    /** A list has been taken in whole. */
-    void listed(long nowUs) {
-        lastListUs = nowUs;
+    /** Records that a list has been applied completely. */
+    void listApplied(long nowUs) {
+        lastListAtUs = nowUs;
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The watch on the list of backends, with discovery played by the test. */
-class DiscoveryTest {
+class DiscoveryClientTest {
     /** Asks to watch at its first event, and again whenever a call has failed. */
     private static Fixture.Module watcher() {
         return (event, actions) -> {
--- a/proxy/src/test/java/walkpost/proxy/ListTermsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
@@ -21,7 +21,7 @@
  * The terms on lists that are asked for, on a clock that the test moves: discovery has a change, but cannot be reached for some time.
  * However that shows, the change is here 6 s after it can be reached, with answers that take 1.5 s, whatever the settings.
  */
-class ListTermsTest {
+class DiscoveryOutageTest {
     /** How a call fares while discovery cannot be reached. */
     private enum Trouble { REFUSED, NO_CONNECTION, SILENT, BUSY, BROKEN_OFF, RESET, NO_DESCRIPTOR, MIXED, SILENT_ONCE_MORE, TURNED_AWAY_BESIDE }
 
--- a/proxy/src/test/java/walkpost/proxy/RecallRuleTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryRetryPolicyTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The rows of {@link RecallRule}'s table. */
-class RecallRuleTest {
+/** The rows of {@link DiscoveryRetryPolicy}'s table. */
+class DiscoveryRetryPolicyTest {
     private static final long GRACE_MS = 300;
     private static final int PROXIES = 590;
 
@@ -46,7 +46,7 @@
         long at = 0;
         int triesWithinGrace = 0;
         int tries = 0;
-        for (long next = RecallRule.localRetryMs(0, 0); next != RecallRule.BACK_OFF; next = RecallRule.localRetryMs(tries, at)) {
+        for (long next = DiscoveryRetryPolicy.localRetryMs(0, 0); next != DiscoveryRetryPolicy.BACK_OFF; next = DiscoveryRetryPolicy.localRetryMs(tries, at)) {
             at += next;
             tries++;
             triesWithinGrace += at < GRACE_MS ? 1 : 0;
@@ -60,37 +60,37 @@
     @EnumSource(names = {"BROKEN_ANSWER", "ENDED_UNANSWERED"})
     void anAnswerThatMayBeLostIsAskedForOnceWellWithinTheGrace(CallFailure failure) {
         for (double draw = 0; draw < 1; draw += 0.01) {
-            assertThat(new RecallRule().recallMs(failure, draw)).isBetween(0L, GRACE_MS / 2);
+            assertThat(new DiscoveryRetryPolicy().recallMs(failure, draw)).isBetween(0L, GRACE_MS / 2);
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"BROKEN_ANSWER", "UNREACHABLE"})
     void aRecallThatDiscoveryDidNotTurnAwayIsMadeTwiceMoreWithinTheGrace(CallFailure second) {
-        var rule = new RecallRule();
+        var rule = new DiscoveryRetryPolicy();
         long at = rule.recallMs(CallFailure.ENDED_UNANSWERED, 1);
         at += rule.recallMs(second, 1);
         at += rule.recallMs(second, 1);
         assertThat(at).isLessThan(GRACE_MS);
-        assertThat(rule.recallMs(second, 1)).isEqualTo(RecallRule.BACK_OFF);
+        assertThat(rule.recallMs(second, 1)).isEqualTo(DiscoveryRetryPolicy.BACK_OFF);
         rule.answered();
-        assertThat(rule.recallMs(CallFailure.UNREACHABLE, 1)).isEqualTo(RecallRule.BACK_OFF);
+        assertThat(rule.recallMs(CallFailure.UNREACHABLE, 1)).isEqualTo(DiscoveryRetryPolicy.BACK_OFF);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"LOCAL", "REJECTED", "ENDED_UNANSWERED"})
     void aSecondFailureWaitsForTheBackOffUntilASoundAnswer(CallFailure second) {
-        var rule = new RecallRule();
-        assertThat(rule.recallMs(CallFailure.ENDED_UNANSWERED, 0)).isNotEqualTo(RecallRule.BACK_OFF);
-        assertThat(rule.recallMs(second, 0)).isEqualTo(RecallRule.BACK_OFF);
+        var rule = new DiscoveryRetryPolicy();
+        assertThat(rule.recallMs(CallFailure.ENDED_UNANSWERED, 0)).isNotEqualTo(DiscoveryRetryPolicy.BACK_OFF);
+        assertThat(rule.recallMs(second, 0)).isEqualTo(DiscoveryRetryPolicy.BACK_OFF);
         rule.answered();
-        assertThat(rule.recallMs(CallFailure.BROKEN_ANSWER, 0)).isNotEqualTo(RecallRule.BACK_OFF);
+        assertThat(rule.recallMs(CallFailure.BROKEN_ANSWER, 0)).isNotEqualTo(DiscoveryRetryPolicy.BACK_OFF);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"LOCAL", "UNREACHABLE", "REJECTED"})
     void whatTellsOfNothingLostWaitsForTheBackOff(CallFailure failure) {
-        assertThat(new RecallRule().recallMs(failure, 0.5)).isEqualTo(RecallRule.BACK_OFF);
+        assertThat(new DiscoveryRetryPolicy().recallMs(failure, 0.5)).isEqualTo(DiscoveryRetryPolicy.BACK_OFF);
     }
 
     @Test
@@ -98,11 +98,11 @@
         var random = new SplittableRandom(7);
         int[] callsByTenMs = new int[13];
         for (int proxy = 0; proxy < PROXIES; proxy++) {
-            var rule = new RecallRule();
+            var rule = new DiscoveryRetryPolicy();
             callsByTenMs[(int) rule.recallMs(CallFailure.ENDED_UNANSWERED, random.nextDouble()) / 10]++;
             rule.recallMs(CallFailure.UNREACHABLE, random.nextDouble());
             rule.recallMs(CallFailure.UNREACHABLE, random.nextDouble());
-            assertThat(rule.recallMs(CallFailure.UNREACHABLE, random.nextDouble())).isEqualTo(RecallRule.BACK_OFF);
+            assertThat(rule.recallMs(CallFailure.UNREACHABLE, random.nextDouble())).isEqualTo(DiscoveryRetryPolicy.BACK_OFF);
         }
         assertThat(IntStream.of(callsByTenMs).max().orElseThrow()).isLessThan(PROXIES / 6);
     }
--- a/proxy/src/test/java/walkpost/proxy/FleetSwitchTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The switch of the fleet, at the program as it runs. */
-class FleetSwitchTest {
+class FleetOptInTest {
     private static final String LOADED = "-Xlog:class+load";
 
     @TempDir
--- a/proxy/src/test/java/walkpost/proxy/ListClockTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ListCallTimingTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Each sentence of STANDING on silence, against the clock that asks again; times in milliseconds from a call's beginning. */
-class ListClockTest {
+class ListCallTimingTest {
     private static final long[] ASK_WITHIN = {500, 1_900, 5_000, 10_000, 20_000, 60_000, 600_000};
 
     static Stream<Arguments> clocks() {
         return Stream.of(true, false).flatMap(pushed -> java.util.Arrays.stream(ASK_WITHIN)
-                .mapToObj(within -> Arguments.of(pushed, new ListClock(pushed, within))));
+                .mapToObj(within -> Arguments.of(pushed, new ListCallTiming(pushed, within))));
     }
 
     /** The calls that may be the first of a watch, or any later one, the shortest and the longest wait. */
-    private static List<Long> waits(ListClock clock) {
+    private static List<Long> waits(ListCallTiming clock) {
         return List.of(0L, clock.waitMs(true, 0), clock.waitMs(false, 0), clock.waitMs(true, 1), clock.waitMs(false, 1));
     }
 
@@ -31,15 +31,15 @@
     }
 
     /** Returns when the list is here, if so many calls say nothing and the others are answered after so long. */
-    private static long learned(ListClock.Patience patience, int silent, long answerMs) {
+    private static long learned(ListCallTiming.CallSchedule patience, int silent, long answerMs) {
         var begun = new ArrayList<>(List.of(0L));
-        begun.addAll(patience.againMs());
+        begun.addAll(patience.hedgeAfterMs());
         return begun.get(silent) + (silent == 0 ? patience.waitMs() : 0) + answerMs;
     }
 
     @ParameterizedTest
     @MethodSource("clocks")
-    void whatASilentWatchMissesIsHereBeforeItCountsAsTold(boolean pushed, ListClock clock) {
+    void whatASilentWatchMissesIsHereBeforeItCountsAsTold(boolean pushed, ListCallTiming clock) {
         for (long wait : waits(clock)) {
             for (long silentSince = 0; silentSince <= wait; silentSince += 100) {
                 assertThat(learned(clock.patience(wait), 1, 0)).isLessThan(told(silentSince, wait) - 1_000);
@@ -49,7 +49,7 @@
 
     @ParameterizedTest
     @MethodSource("clocks")
-    void soItIsWithADiscoveryThatIsSlowToAnswer(boolean pushed, ListClock clock) {
+    void soItIsWithADiscoveryThatIsSlowToAnswer(boolean pushed, ListCallTiming clock) {
         for (long wait : waits(clock)) {
             assertThat(learned(clock.patience(wait), 1, 1_000)).isLessThan(told(0, wait));
         }
@@ -58,7 +58,7 @@
     /** A hundred calls in turn, 15 ms each: the last is answered after 1.5 s. */
     @ParameterizedTest
     @MethodSource("clocks")
-    void soItIsWhereAHundredAskAtOnce(boolean pushed, ListClock clock) {
+    void soItIsWhereAHundredAskAtOnce(boolean pushed, ListCallTiming clock) {
         for (long wait : waits(clock)) {
             assertThat(learned(clock.patience(wait), 1, 100 * 15)).isLessThan(told(0, wait));
         }
@@ -70,10 +70,10 @@
      */
     @ParameterizedTest
     @MethodSource("clocks")
-    void soItIsWhereDiscoveryGoesSilentTwiceRunning(boolean pushed, ListClock clock) {
+    void soItIsWhereDiscoveryGoesSilentTwiceRunning(boolean pushed, ListCallTiming clock) {
         for (long wait : waits(clock)) {
-            ListClock.Patience patience = clock.patience(wait);
-            long beside = patience.againMs().get(0);
+            ListCallTiming.CallSchedule patience = clock.patience(wait);
+            long beside = patience.hedgeAfterMs().get(0);
             assertThat(learned(patience, 2, 1_500)).isLessThan(told(beside, 0));
             if (pushed || wait < 2_400) {
                 assertThat(learned(patience, 2, 1_000)).isLessThan(told(0, wait));
@@ -84,9 +84,9 @@
     /** A service answers in turn, within 2 s: whoever asks once more while its call waits has both turned away. */
     @ParameterizedTest
     @MethodSource("clocks")
-    void aCallThatWaitsItsTurnIsNotMadeOnceMore(boolean pushed, ListClock clock) {
+    void aCallThatWaitsItsTurnIsNotMadeOnceMore(boolean pushed, ListCallTiming clock) {
         for (long wait : waits(clock)) {
-            List<Long> again = clock.patience(wait).againMs();
+            List<Long> again = clock.patience(wait).hedgeAfterMs();
             assertThat(again.get(1) - again.get(0)).isGreaterThanOrEqualTo(pushed ? 500 : 1_950);
         }
     }
@@ -94,22 +94,22 @@
     /** It is not given up before what was asked last has had its turn. */
     @ParameterizedTest
     @MethodSource("clocks")
-    void theLastCallHasTimeToBeAnswered(boolean pushed, ListClock clock) {
+    void theLastCallHasTimeToBeAnswered(boolean pushed, ListCallTiming clock) {
         for (long wait : waits(clock)) {
-            ListClock.Patience patience = clock.patience(wait);
-            assertThat(patience.giveUpMs()).isGreaterThan(learned(patience, patience.againMs().size(), 1_500));
+            ListCallTiming.CallSchedule patience = clock.patience(wait);
+            assertThat(patience.timeoutMs()).isGreaterThan(learned(patience, patience.hedgeAfterMs().size(), 1_500));
         }
     }
 
-    /** After a call that failed: the rows of {@link ListClock}'s table with the module's back-off, each within the page's 6 s. */
+    /** After a call that failed: the rows of {@link ListCallTiming}'s table with the module's back-off, each within the page's 6 s. */
     @Test
     void aCallThatFailedIsMadeAgainBeforeWhatItMissedCounts() {
         long backOff = BackOff.LONGEST_US / 1_000;
         for (long within : ASK_WITHIN) {
-            var clock = new ListClock(false, within);
+            var clock = new ListCallTiming(false, within);
             for (long wait : waits(clock)) {
-                ListClock.Patience patience = clock.patience(wait);
-                long last = patience.giveUpMs() - patience.againMs().get(patience.againMs().size() - 1);
+                ListCallTiming.CallSchedule patience = clock.patience(wait);
+                long last = patience.timeoutMs() - patience.hedgeAfterMs().get(patience.hedgeAfterMs().size() - 1);
                 assertThat(last + backOff + 1_500).as("given up").isLessThan(6_000);
             }
             assertThat(clock.connectMs() + backOff + 1_500).as("no connection").isLessThan(6_000);
@@ -120,24 +120,24 @@
     /** Empty answers are work for a service that all share, and a second call would be as much again. */
     @ParameterizedTest
     @MethodSource("clocks")
-    void aWatchThatIsAnsweredInTimeIsNotAskedTwice(boolean pushed, ListClock clock) {
+    void aWatchThatIsAnsweredInTimeIsNotAskedTwice(boolean pushed, ListCallTiming clock) {
         for (long wait : waits(clock)) {
-            assertThat(clock.patience(wait).againMs()).allMatch(at -> at > wait + 500);
+            assertThat(clock.patience(wait).hedgeAfterMs()).allMatch(at -> at > wait + 500);
         }
     }
 
     @Test
     void aWaitIsShortAndFollowsTheSettings() {
-        assertThat(new ListClock(false, 6_000).waitMs()).isEqualTo(2_000);
-        assertThat(new ListClock(false, 1_900).waitMs()).isEqualTo(1_000);
+        assertThat(new ListCallTiming(false, 6_000).waitMs()).isEqualTo(2_000);
+        assertThat(new ListCallTiming(false, 1_900).waitMs()).isEqualTo(1_000);
         // A longer one would leave too little of the 6 s.
-        assertThat(new ListClock(false, 60_000).waitMs()).isEqualTo(3_500);
+        assertThat(new ListCallTiming(false, 60_000).waitMs()).isEqualTo(3_500);
     }
 
     /** All proxies of a fleet start together; their first waits end one after the other. */
     @Test
     void theFirstWaitsAreSpreadOverAllOfTheirTime() {
-        var clock = new ListClock(false, 9_000);
+        var clock = new ListCallTiming(false, 9_000);
         assertThat(clock.waitMs(true, 0)).isEqualTo(375);
         assertThat(clock.waitMs(false, 0)).isEqualTo(2_250);
         assertThat(clock.waitMs(true, 1)).isEqualTo(clock.waitMs(false, 1)).isEqualTo(3_000);
@@ -146,7 +146,7 @@
     /** Pushed lists count at once after an outage: 300 ms and the protocol's slack of 50 are left. */
     @Test
     void anAgentThatIsBackIsReachedBeforeItsNewsBind() {
-        var clock = new ListClock(true, 10_000);
+        var clock = new ListCallTiming(true, 10_000);
         assertThat(clock.agentRetryMs() + clock.connectMs()).isLessThanOrEqualTo(300);
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/FleetLinkTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
@@ -36,7 +36,7 @@
 import walkpost.fleet.shell.FleetHandle;
 
 /** A proxy in a fleet that the test plays: what operators may call, what it obeys and what it tells. */
-class FleetLinkTest {
+class ProxyFleetMemberTest {
     private static final String OUT = "{\"out\":true}";
     private static final long LONG_US = 3_600_000_000L;
 
@@ -188,7 +188,7 @@
             fleet.stands("s0", OUT);
             fleet.stands("s0", "{\"of a later version\":1}");
             assertThat(proxy.call("include s0\n")).contains("the fleet has it out");
-            assertThat(proxy.events.stream().filter(FleetLinkTest::changes)).containsExactly(new Excluded("s0"));
+            assertThat(proxy.events.stream().filter(ProxyFleetMemberTest::changes)).containsExactly(new Excluded("s0"));
             fleet.stands("s0", null);
             assertThat(proxy.next(Included.class)).isEqualTo(new Included("s0"));
             assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
--- a/proxy/src/test/java/walkpost/proxy/BackendsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServerConnectionsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What becomes of an attempt: rule 2 rests on 'never ran' being said only where that is certain. */
-class BackendsTest {
+class ServerConnectionsTest {
     @ParameterizedTest
     @CsvSource({"503 Unavailable,X-Not-Processed: 1,FULL", "504 Late,X-Not-Processed: 1,FULL",
         "503 Unavailable,X-Not-Processed: 0,ERROR", "504 Late,X-Other: 1,ERROR", "500 Error,X-Not-Processed: 1,ERROR",
--- a/proxy/src/test/java/walkpost/proxy/BackendDecoderTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServerResponseDecoderTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What is taken for the end of an answer. */
-class BackendDecoderTest {
+class ServerResponseDecoderTest {
     /** A write that fails has Netty close the connection, as does this side: nothing says that the answer is whole. */
     @Test
     void aCloseThatWasNotReadEndsNoAnswer() {
-        var channel = new EmbeddedChannel(new BackendDecoder(() -> true));
+        var channel = new EmbeddedChannel(new ServerResponseDecoder(() -> true));
         channel.writeInbound(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\nhalf", StandardCharsets.US_ASCII));
         channel.close();
         for (HttpObject message = channel.readInbound(); message != null; message = channel.readInbound()) {
