--- a/proxy/src/main/java/walkpost/proxy/Config.java
+++ b/proxy/src/main/java/walkpost/proxy/Config.java
@@ -20,23 +20,29 @@
 import java.util.Set;
 
 /**
- * What a proxy is told at its start.
+ * The configuration of a proxy, read from its file at the start and again when it is reconfigured. Immutable.
  *
- * @param operator where the operators call; null where they don't
- * @param known the backends as this proxy last had them, in discovery's form; null where there are none
- * @param memory the bytes of memory that the process has
- * @param cores the part of a core that the process has
- * @param keys the names of all that it tells, but for the lists of backends, classes and tenants
- * @param connIdleUs a backend closes a connection that has stood idle for so long
+ * @param name the name of this proxy
+ * @param listen the address for clients
+ * @param discovery the address of discovery
+ * @param operator the address of the operators' endpoint; null if there is none
+ * @param sockets the number of descriptors that the process may use
+ * @param memory the memory of the process, in bytes
+ * @param cores the share of CPU cores that the process has; may be a fraction
+ * @param known the list of servers from this proxy's previous run, in discovery's format; null if there is none
+ * @param connIdleUs the time after which a server closes an idle connection
+ * @param connectTimeoutUs the time-out for connecting to a server
+ * @param keys the paths of all JSON fields in the file, except those inside arrays
  */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress operator,
-        int sockets, long memory, double cores, JsonNode known, Balancer.Settings settings, long connIdleUs, long connectTimeoutUs, Set<String> keys) {
+        int sockets, long memory, double cores, JsonNode known, Balancer.Settings settings, long connIdleUs, long connectTimeoutUs,
+        Set<String> keys) {
 
     static final ObjectMapper JSON = JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
-    /** What a proxy can do without: it is not missed where another configuration has it. */
+    /** Fields that a configuration may lack although the one before had them. */
     private static final Set<String> OPTIONAL = Set.of("known", "operator", "extra");
 
-    /** A configuration that no proxy can run with; the message is for the operators and names the field. */
+    /** Thrown if a proxy cannot run with a configuration; the message is for the operators and names the field. */
     static final class BadConfig extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -49,66 +55,67 @@
         try {
             return parse(JSON.readTree(new StartRetry().untilDone("configuration", () -> Files.readAllBytes(file))));
         } catch (JsonProcessingException e) {
-            throw new BadConfig("not JSON: " + e.getOriginalMessage());
+            throw new BadConfig("the configuration file is not valid JSON: " + e.getOriginalMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new BadConfig("reading it was interrupted");
+            throw new BadConfig("the thread was interrupted while it read the configuration file");
         } catch (BadConfig e) {
             throw e;
         } catch (Exception e) {
-            throw new BadConfig("cannot be read: " + e);
+            throw new BadConfig("the configuration file cannot be read: " + e);
         }
     }
 
     static Config parse(JsonNode json) throws BadConfig {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
-            throw new BadConfig("'settings': an object is wanted");
+            throw new BadConfig("'settings': missing or not a JSON object");
         }
         var values = new HashMap<String, String>();
         flatten("", settings, values);
         try {
-            return new Config(text(json, "name"), address(json, "listen"), address(json, "discovery"),
-                    json.has("operator") ? address(json, "operator") : null, sockets(json), memory(json), cores(json),
+            return new Config(requiredText(json, "name"), requiredAddress(json, "listen"), requiredAddress(json, "discovery"),
+                    json.has("operator") ? requiredAddress(json, "operator") : null,
+                    parseSockets(json), parseMemoryBytes(json), parseCores(json),
                     json.path("known").isObject() ? json.path("known") : null,
-                    SettingsReader.read(values, seed(json)),
+                    SettingsReader.read(values, parseSeed(json)),
                     SettingsReader.whole(values, "bounds.conn_idle_us"),
-                    SettingsReader.whole(values, "bounds.connect_timeout_us"), Set.copyOf(keys("", json, new HashSet<>())));
+                    SettingsReader.whole(values, "bounds.connect_timeout_us"), Set.copyOf(collectFieldPaths("", json, new HashSet<>())));
         } catch (IllegalArgumentException e) {
             throw new BadConfig("'settings': " + e.getMessage());
         }
     }
 
-    /** Returns the paths of all objects' fields, those that a list holds left out. */
-    private static Set<String> keys(String path, JsonNode node, Set<String> into) {
-        node.properties().forEach(e -> {
-            if (!OPTIONAL.contains(e.getKey())) {
-                into.add(path + e.getKey());
-                keys(path + e.getKey() + ".", e.getValue(), into);
+    /** Adds the paths of all fields of a JSON object and of the objects in it to a set, except those inside arrays; returns the set. */
+    private static Set<String> collectFieldPaths(String prefix, JsonNode node, Set<String> paths) {
+        node.properties().forEach(field -> {
+            if (!OPTIONAL.contains(field.getKey())) {
+                paths.add(prefix + field.getKey());
+                collectFieldPaths(prefix + field.getKey() + ".", field.getValue(), paths);
             }
         });
-        return into;
+        return paths;
     }
 
     /**
-     * Returns the configuration that is to take this one's place.
+     * Returns a new configuration unchanged if it may replace this one.
      *
-     * @throws BadConfig if it lacks what this one has: it was cut short, and to go by the rest would be a guess
+     * @throws BadConfig if it lacks a field that this one has: its file was probably cut short, so the rest cannot be trusted
      */
-    Config next(Config next) throws BadConfig {
+    Config next(Config replacement) throws BadConfig {
         for (String key : keys) {
-            if (!next.keys.contains(key)) {
-                throw new BadConfig("'" + key + "': missing, though it was there before");
+            if (!replacement.keys.contains(key)) {
+                throw new BadConfig("'" + key + "': missing, but the current configuration has it");
             }
         }
-        return next;
+        return replacement;
     }
 
-    /** Spells nested JSON out as paths, as the simulator's wire has them. */
+    /** Flattens nested JSON to paths and values, in the format of the simulator's wire protocol. */
     private static void flatten(String path, JsonNode node, Map<String, String> values) {
         if (node.isObject()) {
-            node.properties().forEach(e ->
-                    flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), values));
+            node.properties().forEach(field ->
+                    flatten(path.isEmpty() ? field.getKey() : path + "." + field.getKey(), field.getValue(), values));
         } else if (node.isArray()) {
             values.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
@@ -119,7 +126,7 @@
         }
     }
 
-    private static String text(JsonNode json, String field) throws BadConfig {
+    private static String requiredText(JsonNode json, String field) throws BadConfig {
         String text = json.path(field).asText("");
         if (text.isEmpty()) {
             throw new BadConfig("'" + field + "': missing");
@@ -127,49 +134,52 @@
         return text;
     }
 
-    private static InetSocketAddress address(JsonNode json, String field) throws BadConfig {
-        String text = text(json, field);
+    private static InetSocketAddress requiredAddress(JsonNode json, String field) throws BadConfig {
+        String text = requiredText(json, field);
         InetSocketAddress address = address(text);
         if (address == null) {
-            throw new BadConfig("'" + field + "': '" + text + "' is no address and port");
+            throw new BadConfig("'" + field + "': '" + text + "' is not a numeric IP address and port, such as 127.0.0.1:8080");
         }
         return address;
     }
 
-    private static long seed(JsonNode json) throws BadConfig {
-        String text = text(json, "seed");
+    private static long parseSeed(JsonNode json) throws BadConfig {
+        String text = requiredText(json, "seed");
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadConfig("'seed': '" + text + "' is no hexadecimal number of 64 bits");
+            throw new BadConfig("'seed': '" + text + "' is not a hexadecimal number of up to 64 bits");
         }
     }
 
-    private static int sockets(JsonNode json) throws BadConfig {
+    private static int parseSockets(JsonNode json) throws BadConfig {
         JsonNode limit = json.path("limits").path("sockets");
         if (!limit.canConvertToInt() || limit.asInt() < 128) {
-            throw new BadConfig("'limits.sockets': a number of at least 128 is wanted");
+            throw new BadConfig("'limits.sockets': '" + limit.asText() + "' is not an integer of at least 128");
         }
         return limit.asInt();
     }
 
-    private static long memory(JsonNode json) throws BadConfig {
-        long mb = json.path("limits").path("memory_mb").asLong(192);
-        if (mb < 1) {
-            throw new BadConfig("'limits.memory_mb': a number above 0 is wanted");
+    private static long parseMemoryBytes(JsonNode json) throws BadConfig {
+        long megabytes = json.path("limits").path("memory_mb").asLong(192);
+        if (megabytes < 1) {
+            throw new BadConfig("'limits.memory_mb': " + megabytes + " is not at least 1");
         }
-        return mb * 1024 * 1024;
+        return megabytes * 1024 * 1024;
     }
 
-    private static double cores(JsonNode json) throws BadConfig {
+    private static double parseCores(JsonNode json) throws BadConfig {
         double cores = json.path("limits").path("cores").asDouble(1);
         if (!(cores > 0)) {
-            throw new BadConfig("'limits.cores': a number above 0 is wanted");
+            throw new BadConfig("'limits.cores': " + cores + " is not above 0");
         }
         return cores;
     }
 
-    /** Reads a numeric address and a port, or returns null: there is no DNS, and none is to be waited for. */
+    /**
+     * Parses a numeric IP address and a port; returns null if the text is anything else. Host names are not accepted, because there is no
+     * DNS, and resolving a name could block.
+     */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/proxy/src/main/java/walkpost/proxy/FleetLink.java
+++ b/proxy/src/main/java/walkpost/proxy/FleetLink.java
@@ -29,26 +29,28 @@
 import walkpost.fleet.shell.FleetListener;
 
 /**
- * The proxy as a member of the fleet. It hears of the fleet on the serving loop, obeys the exclusions that stand, and tells the others how
- * this proxy is. The owner of the membership, and the only class here that uses the fleet's: it is loaded where there is a fleet.
+ * Makes the proxy a member of the fleet: applies the exclusion orders in force, publishes the proxy's status to the other members, and
+ * answers the operators' calls on the fleet. It owns the membership and is the only class of this package that uses the fleet module's
+ * classes, so it is loaded only if a fleet is configured. The fleet's notifications arrive on the event loop; other methods may be called
+ * on any thread.
  */
 final class FleetLink implements FleetSide, FleetListener {
-    /** The topic of orders whose subject is a tile server. */
+    /** The topic of the orders that exclude a tile server, which is their subject. */
     static final String EXCLUSION = "exclusion";
-    /** The topic of facts whose subject is the proxy that tells them. */
+    /** The topic of the entries with a proxy's status, whose subject is the proxy that writes them. */
     static final String PROXY = "proxy";
-    /** What a membership takes of the process's descriptors. */
+    /** The number of descriptors that a membership may use. */
     static final int MOST_DESCRIPTORS = Fleet.MOST_DESCRIPTORS;
-    /** An order's id, in bytes. */
+    /** The maximum length of an order's id, in bytes. */
     static final int LONGEST_ORDER = 64;
-    private static final String OUT = "{\"out\":true}";
-    /** An order takes 2 s at most (docs/fleet.md); whoever has not heard of it by then is not to wait for ever. */
-    private static final long LATE_MS = 2_800;
-    private static final long TELL_MS = 1_000;
-    /** At an upgrade the process before this one has the fleet's address until it ends; to try costs next to nothing. */
-    private static final long TAKEN_MS = 500;
-
-    /** Makes this process a member. */
+    private static final String EXCLUDED_PAYLOAD = "{\"out\":true}";
+    /** The fleet answers an order within 2 s (docs/fleet.md); a caller whose order is still unanswered after this time gets a failure. */
+    private static final long ORDER_TIMEOUT_MS = 2_800;
+    private static final long STATUS_INTERVAL_MS = 1_000;
+    /** During an upgrade the previous process has the fleet's address until it ends; a try to join costs almost nothing. */
+    private static final long JOIN_RETRY_MS = 500;
+
+    /** Joins the fleet with this process. */
     interface Opener {
         FleetHandle open() throws FleetException;
     }
@@ -57,74 +59,75 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Exclusions exclusions;
-    private final Supplier<Condition> condition;
-    /** Why it is no member; counts where there is no handle. */
-    private volatile String absent = "this proxy has not joined the fleet yet";
+    private final Supplier<Condition> status;
+    /** Why this proxy is not a member; used only while there is no handle. */
+    private volatile String notMemberReason = "this proxy has not joined the fleet yet";
     private volatile FleetHandle handle;
-    private Future<?> telling;
+    private Future<?> statusTimer;
     private boolean closed;
-    private Condition told;
-    private long toldAt;
+    private Condition publishedStatus;
+    private long publishedAtUs;
 
-    private FleetLink(EventLoop loop, Clock clock, Exclusions exclusions, Supplier<Condition> condition) {
+    private FleetLink(EventLoop loop, Clock clock, Exclusions exclusions, Supplier<Condition> status) {
         this.loop = loop;
         this.clock = clock;
         this.exclusions = exclusions;
-        this.condition = condition;
+        this.status = status;
     }
 
-    /** Returns what joins the fleet that a file describes. */
+    /** Returns an opener that joins the fleet described in a file. */
     static Opener opener(Path file, Map<String, String> environment) {
         return () -> Fleet.open(file, environment);
     }
 
     /**
-     * Joins the fleet. Where another process serves in this place it may have the fleet's address and directory: then this one joins when
-     * that has ended, and obeys until then what the other one keeps in the exclusions' folder.
+     * Joins the fleet. During an upgrade the previous process may still have the fleet's address and directory. This process then joins
+     * when that one has ended, and until then applies the exclusions that it stores in the exclusions' directory.
      *
-     * @throws Config.BadConfig with the fleet's own words, where its file is wrong or its address taken for good
+     * @param shared whether another process may serve at the same time, as during an upgrade
+     * @throws Config.BadConfig with the fleet's message, if its file is invalid or its address is in use by something else
      */
     static FleetSide join(Opener opener, boolean shared, EventLoop loop, Clock clock, Exclusions exclusions,
-            Supplier<Condition> condition) throws Config.BadConfig {
-        var link = new FleetLink(loop, clock, exclusions, condition);
+            Supplier<Condition> status) throws Config.BadConfig {
+        var member = new FleetLink(loop, clock, exclusions, status);
         loop.execute(exclusions::start);
         try {
-            link.joined(opener.open());
+            member.onJoined(opener.open());
         } catch (FleetException e) {
             if (!shared || e instanceof FleetException.BadFile) {
                 throw new Config.BadConfig(Surroundings.FLEET + ": " + e.getMessage());
             }
-            link.joinLater(opener, e);
+            member.joinLater(opener, e);
         }
-        return link;
+        return member;
     }
 
-    private void joinLater(Opener opener, FleetException why) {
-        if (!why.getMessage().equals(absent)) {
-            absent = why.getMessage();
-            log.info("joins_later", "reason", absent);
+    private void joinLater(Opener opener, FleetException cause) {
+        if (!cause.getMessage().equals(notMemberReason)) {
+            notMemberReason = cause.getMessage();
+            log.info("joins_later", "reason", notMemberReason);
         }
-        // Not on the loop: to open takes files and sockets.
-        loop.schedule(() -> CompletableFuture.runAsync(() -> joinNow(opener)), TAKEN_MS, TimeUnit.MILLISECONDS);
+        // Joining opens files and sockets, so it does not run on the event loop.
+        loop.schedule(() -> CompletableFuture.runAsync(() -> joinNow(opener)), JOIN_RETRY_MS, TimeUnit.MILLISECONDS);
     }
 
     private void joinNow(Opener opener) {
         try {
-            joined(opener.open());
+            onJoined(opener.open());
         } catch (FleetException e) {
             joinLater(opener, e);
         } catch (RuntimeException e) {
-            absent = e.toString();
+            notMemberReason = e.toString();
             log.failure("not_joined", e);
         }
     }
 
-    private void joined(FleetHandle opened) {
+    private void onJoined(FleetHandle opened) {
         synchronized (this) {
             if (!closed) {
                 handle = opened;
                 opened.listen(loop, this);
-                telling = loop.scheduleWithFixedDelay(this::tell, 0, TELL_MS, TimeUnit.MILLISECONDS);
+                statusTimer = loop.scheduleWithFixedDelay(this::publishStatus, 0, STATUS_INTERVAL_MS, TimeUnit.MILLISECONDS);
                 return;
             }
         }
@@ -133,35 +136,35 @@
 
     @Override
     public void close() {
-        FleetHandle open;
+        FleetHandle openHandle;
         synchronized (this) {
             closed = true;
-            open = handle;
+            openHandle = handle;
             handle = null;
-            absent = "this proxy is ending and has left the fleet";
+            notMemberReason = "this proxy is ending and has left the fleet";
         }
-        if (open != null) {
-            telling.cancel(false);
-            open.close();
+        if (openHandle != null) {
+            statusTimer.cancel(false);
+            openHandle.close();
         }
     }
 
-    // What the fleet tells, on the loop
+    // Notifications of the fleet, on the event loop
 
     @Override
     public void stands(Order.Key key, Acting acting) {
         if (!key.topic().equals(EXCLUSION)) {
             return;
         }
-        Boolean out = out(acting);
-        if (out == null) {
+        Boolean excluded = isExcluded(acting);
+        if (excluded == null) {
             log.warn("order_not_understood", "server", key.subject(), "payload", acting.payload());
-        } else if (out != exclusions.standing().contains(key.subject())) {
-            exclusions.obey(key.subject(), out);
+        } else if (excluded != exclusions.standing().contains(key.subject())) {
+            exclusions.obey(key.subject(), excluded);
         }
     }
 
-    /** What this proxy kept from before, and no order stands for any more, is over once it is sure of that. */
+    /** Once this member has caught up, includes each server that it had excluded and that no order in force excludes any more. */
     @Override
     public void level(boolean level) {
         FleetHandle fleet = handle;
@@ -169,7 +172,7 @@
             Map<Order.Key, Acting> orders = fleet.orders();
             exclusions.standing().stream().filter(id -> {
                 Acting acting = orders.get(new Order.Key(EXCLUSION, id));
-                return acting == null || Boolean.FALSE.equals(out(acting));
+                return acting == null || Boolean.FALSE.equals(isExcluded(acting));
             }).forEach(id -> exclusions.obey(id, false));
         }
     }
@@ -183,38 +186,38 @@
     @Override
     public void stale(Fact.Key key) { }
 
-    /** Returns whether a server is out; null where the order says something that this version does not know. */
-    private static Boolean out(Acting acting) {
+    /** Returns whether the order in force excludes its server; null if its payload is unknown to this version of the program. */
+    private static Boolean isExcluded(Acting acting) {
         if (acting.payload() == null) {
             return false;
         }
-        JsonNode out = value(acting.payload()).path("out");
+        JsonNode out = parsePayload(acting.payload()).path("out");
         return out.isBoolean() ? out.booleanValue() : null;
     }
 
-    // What this proxy tells
+    // The entry that this proxy publishes
 
-    /** Tells how this proxy is, where that is news, or others hold what they were told to be half as old as it may be. */
-    private void tell() {
+    /** Publishes the proxy's status if it has changed, or if the published one has reached half of the topic's maximum age. */
+    private void publishStatus() {
         FleetHandle fleet = handle;
-        Condition now = condition.get();
-        if (fleet != null && (!now.equals(told) || clock.now() - toldAt >= fleet.boundUs(PROXY) / 2)) {
-            told = now;
-            toldAt = clock.now();
-            fleet.tell(PROXY, fleet.name(), Config.JSON.valueToTree(now).toString());
+        Condition currentStatus = status.get();
+        if (fleet != null && (!currentStatus.equals(publishedStatus) || clock.now() - publishedAtUs >= fleet.boundUs(PROXY) / 2)) {
+            publishedStatus = currentStatus;
+            publishedAtUs = clock.now();
+            fleet.tell(PROXY, fleet.name(), Config.JSON.valueToTree(currentStatus).toString());
         }
     }
 
-    // Calls
+    // Calls of the operators
 
     @Override
     public CompletionStage<String> fleet() {
-        return answer(fleet -> {
+        return answerFromReplica(fleet -> {
             ObjectNode json = Config.JSON.createObjectNode().put("name", fleet.name()).put("level", fleet.level());
             ArrayNode members = json.putArray("members");
-            fleet.members().stream().sorted(Comparator.comparing((Member m) -> m.life().name())).forEach(m -> members.addObject()
-                    .put("name", m.life().name()).put("standing", m.standing().name()).put("incarnation", m.life().incarnation())
-                    .put("address", m.address().toString()));
+            fleet.members().stream().sorted(Comparator.comparing((Member member) -> member.life().name()))
+                    .forEach(member -> members.addObject().put("name", member.life().name()).put("standing", member.standing().name())
+                            .put("incarnation", member.life().incarnation()).put("address", member.address().toString()));
             if (!fleet.voters().isEmpty()) {
                 long ageUs = fleet.controlAgeUs();
                 json.set("voters", Config.JSON.valueToTree(fleet.voters()));
@@ -229,13 +232,13 @@
 
     @Override
     public CompletionStage<String> orders() {
-        return answer(fleet -> {
+        return answerFromReplica(fleet -> {
             ObjectNode json = Config.JSON.createObjectNode().put("level", fleet.level());
             ArrayNode orders = json.putArray("orders");
             fleet.orders().forEach((key, acting) -> {
                 Order chosen = acting.chosen();
                 ObjectNode order = orders.addObject().put("topic", key.topic()).put("subject", key.subject());
-                order.set("payload", value(acting.payload()));
+                order.set("payload", parsePayload(acting.payload()));
                 order.put("id", chosen == null ? null : chosen.id()).put("version", chosen == null ? 0 : chosen.version());
                 ArrayNode rivals = order.putArray("rivals");
                 acting.rivals().forEach(rival -> rivals.add(rival.id()));
@@ -246,29 +249,29 @@
 
     @Override
     public CompletionStage<String> facts(String topic) {
-        return asked(fleet -> fleet.facts(topic), (fleet, heard) -> {
+        return answerFromMembers(fleet -> fleet.facts(topic), (fleet, found) -> {
             long boundUs = fleet.boundUs(topic);
             ObjectNode json = Config.JSON.createObjectNode().put("bound_ms", boundUs / 1_000);
             if (!fleet.voters().isEmpty()) {
-                json.set("silent", Config.JSON.valueToTree(heard.silent()));
+                json.set("silent", Config.JSON.valueToTree(found.silent()));
             }
-            ArrayNode facts = json.putArray("facts");
-            for (Fact fact : heard.facts()) {
-                ObjectNode one = facts.addObject().put("subject", fact.key().subject()).put("writer", fact.key().writer());
-                one.set("payload", value(fact.payload()));
-                one.put("age_ms", fact.ageUs() / 1_000).put("stale", fact.ageUs() > boundUs);
+            ArrayNode entries = json.putArray("facts");
+            for (Fact entry : found.facts()) {
+                ObjectNode entryJson = entries.addObject().put("subject", entry.key().subject()).put("writer", entry.key().writer());
+                entryJson.set("payload", parsePayload(entry.payload()));
+                entryJson.put("age_ms", entry.ageUs() / 1_000).put("stale", entry.ageUs() > boundUs);
             }
             return json;
         });
     }
 
     @Override
-    public CompletionStage<String> held(String server, String id) {
-        String wrong = wrong(server, id);
-        if (wrong != null) {
-            return CompletableFuture.completedFuture("FAILURE " + wrong);
+    public CompletionStage<String> held(String server, String orderId) {
+        String invalid = invalidArgument(server, orderId);
+        if (invalid != null) {
+            return CompletableFuture.completedFuture("FAILURE " + invalid);
         }
-        return asked(fleet -> fleet.held(new Order.Key(EXCLUSION, server), id), (fleet, found) -> {
+        return answerFromMembers(fleet -> fleet.held(new Order.Key(EXCLUSION, server), orderId), (fleet, found) -> {
             ObjectNode json = Config.JSON.createObjectNode().put("held", found.held()).put("of", found.of());
             json.set("lacking", Config.JSON.valueToTree(found.lacking()));
             json.set("silent", Config.JSON.valueToTree(found.silent()));
@@ -277,68 +280,71 @@
     }
 
     @Override
-    public CompletionStage<String> order(String server, boolean out, String id, String replaces) {
+    public CompletionStage<String> order(String server, boolean out, String orderId, String replaces) {
         FleetHandle fleet = handle;
-        String wrong = fleet == null ? absent : wrong(server, id);
-        if (wrong != null) {
-            return CompletableFuture.completedFuture("FAILURE " + wrong);
+        String failure = fleet == null ? notMemberReason : invalidArgument(server, orderId);
+        if (failure != null) {
+            return CompletableFuture.completedFuture("FAILURE " + failure);
         }
         var answer = new CompletableFuture<String>();
-        Future<?> late = loop.schedule(() -> answer.complete("FAILURE " + uncertain(fleet, id).getMessage()), LATE_MS,
+        Future<?> timeout = loop.schedule(() -> answer.complete("FAILURE " + uncertain(fleet, orderId).getMessage()), ORDER_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
-        fleet.order(new Order.Key(EXCLUSION, server), id, "-".equals(replaces) ? "" : replaces, out ? OUT : null)
-                .whenComplete((order, e) -> {
-                    late.cancel(false);
-                    answer.complete(e != null ? failure(e) : "SUCCESS " + server + (out ? " is taken out" : " is given back")
+        fleet.order(new Order.Key(EXCLUSION, server), orderId, "-".equals(replaces) ? "" : replaces, out ? EXCLUDED_PAYLOAD : null)
+                .whenComplete((order, error) -> {
+                    timeout.cancel(false);
+                    answer.complete(error != null ? failureAnswer(error) : "SUCCESS " + server + (out ? " is taken out" : " is given back")
                             + " on the fleet, order=" + order.id() + " version=" + order.version());
                 });
         return answer;
     }
 
-    private static String wrong(String server, String id) {
-        if (bytes(server) > Exclusions.LONGEST_ID) {
-            return "no tile server has an id of more than " + Exclusions.LONGEST_ID + " bytes";
+    /** Returns why the arguments of a call are invalid, or null if they are valid. */
+    private static String invalidArgument(String server, String orderId) {
+        if (lengthInBytes(server) > Exclusions.LONGEST_ID) {
+            return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + Exclusions.LONGEST_ID + " are allowed";
         }
-        return id.equals("-") || bytes(id) > LONGEST_ORDER
-                ? "the order's own id is any word but '-', of up to " + LONGEST_ORDER + " bytes" : null;
+        return orderId.equals("-") || lengthInBytes(orderId) > LONGEST_ORDER
+                ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + LONGEST_ORDER + " bytes" : null;
     }
 
-    private static int bytes(String word) {
+    private static int lengthInBytes(String word) {
         return word.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** The fleet itself answers within 2 s. Where it has not, nobody here knows whether the order is decided. */
-    private static FleetException uncertain(FleetHandle fleet, String id) {
-        List<String> missing = fleet.members().stream().filter(m -> m.standing() != Standing.ALIVE).map(m -> m.life().name()).toList();
-        return new FleetException.Uncertain(id, missing.isEmpty() ? List.of("a majority, in " + LATE_MS + " ms") : missing);
+    /** Returns the failure of an order that the fleet has not answered within its 2 s, so that this proxy cannot know if it is decided. */
+    private static FleetException uncertain(FleetHandle fleet, String orderId) {
+        List<String> missing = fleet.members().stream().filter(member -> member.standing() != Standing.ALIVE)
+                .map(member -> member.life().name()).toList();
+        return new FleetException.Uncertain(orderId,
+                missing.isEmpty() ? List.of("a majority, in " + ORDER_TIMEOUT_MS + " ms") : missing);
     }
 
-    private String failure(Throwable e) {
-        Throwable cause = e instanceof CompletionException && e.getCause() != null ? e.getCause() : e;
+    private String failureAnswer(Throwable error) {
+        Throwable cause = error instanceof CompletionException && error.getCause() != null ? error.getCause() : error;
         if (!(cause instanceof FleetException)) {
             log.failure("call_failed", cause);
         }
         return "FAILURE " + (cause instanceof FleetException ? cause.getMessage() : cause);
     }
 
-    /** Answers with what a copy holds. Not on the loop: there may be ten thousand of everything. */
-    private CompletionStage<String> answer(Function<FleetHandle, JsonNode> copy) {
+    /** Answers a call from this member's replica, off the event loop because it may contain ten thousand members, orders or entries. */
+    private CompletionStage<String> answerFromReplica(Function<FleetHandle, JsonNode> answer) {
         FleetHandle fleet = handle;
-        return fleet == null ? CompletableFuture.completedFuture("FAILURE " + absent)
-                : CompletableFuture.supplyAsync(() -> "SUCCESS " + copy.apply(fleet)).exceptionally(this::failure);
+        return fleet == null ? CompletableFuture.completedFuture("FAILURE " + notMemberReason)
+                : CompletableFuture.supplyAsync(() -> "SUCCESS " + answer.apply(fleet)).exceptionally(this::failureAnswer);
     }
 
-    /** Answers with what others were asked. */
-    private <T> CompletionStage<String> asked(Function<FleetHandle, CompletionStage<T>> question,
+    /** Answers a call for which other members may have to be queried; runs off the event loop for the same reason. */
+    private <T> CompletionStage<String> answerFromMembers(Function<FleetHandle, CompletionStage<T>> query,
             BiFunction<FleetHandle, T, JsonNode> answer) {
         FleetHandle fleet = handle;
-        return fleet == null ? CompletableFuture.completedFuture("FAILURE " + absent)
-                : CompletableFuture.supplyAsync(() -> question.apply(fleet)).thenCompose(stage -> stage)
-                        .thenApplyAsync(found -> "SUCCESS " + answer.apply(fleet, found)).exceptionally(this::failure);
+        return fleet == null ? CompletableFuture.completedFuture("FAILURE " + notMemberReason)
+                : CompletableFuture.supplyAsync(() -> query.apply(fleet)).thenCompose(stage -> stage)
+                        .thenApplyAsync(found -> "SUCCESS " + answer.apply(fleet, found)).exceptionally(this::failureAnswer);
     }
 
-    /** Returns a payload as JSON; one that is none, from a faulty writer, as a text. */
-    private static JsonNode value(String payload) {
+    /** Parses a payload as JSON; returns it as a text node if a faulty writer has published something else. */
+    private static JsonNode parsePayload(String payload) {
         try {
             return payload == null ? Config.JSON.nullNode() : Config.JSON.readTree(payload);
         } catch (JsonProcessingException e) {
--- a/proxy/src/test/java/walkpost/proxy/ConfigTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ConfigTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration: what it says, and one plain line on what is wrong with it. */
+/** Checks that a configuration is read completely and that an invalid one is rejected with a message that names the field. */
 class ConfigTest {
     @Test
-    void readsTheSettings() throws Exception {
+    void readsAllSettings() throws Exception {
         Config config = Config.parse(Fixture.config());
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
         assertThat(config.settings().limits().listMustBeAsked()).isTrue();
@@ -29,18 +29,18 @@
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "name|''|'name': missing",
-        "listen|'8080'|'listen': '8080' is no address and port",
-        "discovery|'host:80'|'discovery': 'host:80' is no address and port",
-        "seed|'xyz'|'seed': 'xyz' is no hexadecimal number of 64 bits",
-        "limits|''|'limits.sockets': a number of at least 128 is wanted",
-        "settings|'x'|'settings': an object is wanted"})
-    void namesTheFieldThatIsWrong(String field, String value, String message) throws Exception {
+        "listen|'8080'|'listen': '8080' is not a numeric IP address and port, such as 127.0.0.1:8080",
+        "discovery|'host:80'|'discovery': 'host:80' is not a numeric IP address and port, such as 127.0.0.1:8080",
+        "seed|'xyz'|'seed': 'xyz' is not a hexadecimal number of up to 64 bits",
+        "limits|''|'limits.sockets': '' is not an integer of at least 128",
+        "settings|'x'|'settings': missing or not a JSON object"})
+    void rejectsAnInvalidFieldByName(String field, String value, String message) throws Exception {
         assertThatThrownBy(() -> Config.parse(Fixture.config().put(field, value)))
                 .isInstanceOf(Config.BadConfig.class).hasMessage(message);
     }
 
     @Test
-    void namesTheSettingThatIsWrong() throws Exception {
+    void rejectsAMissingOrUnknownSettingByName() throws Exception {
         ObjectNode missing = Fixture.config();
         ((ObjectNode) missing.path("settings").path("bounds")).remove("conn_idle_us");
         assertThatThrownBy(() -> Config.parse(missing)).hasMessage("'settings': missing setting 'bounds.conn_idle_us'");
@@ -51,10 +51,10 @@
     }
 
     @Test
-    void saysWhereAFileIsNoConfiguration(@TempDir Path folder) throws Exception {
+    void rejectsAnUnreadableOrMalformedFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
-        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.BadConfig.class).hasMessageStartingWith("cannot be read");
+        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.BadConfig.class).hasMessageStartingWith("the configuration file cannot be read: ");
         Files.writeString(file, "{");
-        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.BadConfig.class).hasMessageStartingWith("not JSON");
+        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.BadConfig.class).hasMessageStartingWith("the configuration file is not valid JSON: ");
     }
 }
