--- a/proxy/src/test/java/walkpost/proxy/DiscoverySlope.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoverySlope.java
@@ -81,8 +81,8 @@
             return;
         }
         if (replaced == 0) {
-            System.out.printf("servers %5d  list %.3f MB  parse %.1f ms  taken in %.1f ms  tree %.2f MB  endpoints and module %.2f MB (%d B "
-                    + "a server)  direct buffers %d  ready %d%n", servers, fullList.length / 1e6, parseMs, firstMs, treeBytes / 1e6,
+            System.out.printf("servers %5d  list %.3f MB  parse %.1f ms  taken in %.1f ms  tree %.2f MB  endpoints and module %.2f MB (%d "
+                    + "B a server)  direct buffers %d  ready %d%n", servers, fullList.length / 1e6, parseMs, firstMs, treeBytes / 1e6,
                     heapBytes / 1e6, heapBytes / servers, directBuffers, reachable[0].backends.ready());
             return;
         }
