--- a/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
@@ -5,26 +5,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The end of a process that was told to end: all that is taken is answered, and it is over in time. Until shortly before, clients are served
- * over the connections they have: the next proxy in this place begins no sooner, and others may not be there.
+ * Shuts the process down gracefully on SIGTERM: every accepted request is answered, and the process ends before the platform kills it.
+ * Clients are served over their open connections until shortly before the end, because the next proxy in this place starts no
+ * sooner and there may be no other proxy. {@link #run} blocks its caller's thread; the other methods run on the event loop.
  */
 final class GracefulShutdown {
-    /** New connections go on coming for so long after the signal. */
+    /** How long after SIGTERM the front still opens new connections to this proxy. */
     private static final long FRONT_LAG_MS = 500;
-    /** The process is killed so long after the longest deadline, counted from the signal; a little earlier it ends. */
-    private static final long KILL_MS = 600;
-    /** A longer deadline than this does not put the kill off. */
-    private static final long MOST_DEADLINE_MS = 3_000;
+    /** The time from the longest deadline, counted from SIGTERM, until the end. The platform kills the process a little later. */
+    private static final long END_AFTER_DEADLINE_MS = 600;
+    /** The longest deadline that the platform takes into account for the time of the kill. */
+    private static final long MAX_DEADLINE_MS = 3_000;
     /**
-     * So long before the end each answer becomes its connection's last; whoever asks then is still served. Not before the
-     * last new client has come, however short the deadlines are.
+     * How long before the end each answer begins to close its connection; a request that comes in then is still answered. This does not
+     * begin before the last new client has come, however short the deadlines are.
      */
-    private static final long LAST_CALL_MS = 400;
-    /** What is taken is answered so long before the end: the answer is to be written as well. */
-    private static final long WRITING_MS = 100;
-    /** What has been answered so long before the end, the last call, leaves time for a good-bye to the fleet. */
-    private static final long LEAVE_MS = 300;
-    private static final long LOOK_MS = 10;
+    private static final long CLOSE_CONNECTIONS_MS = 400;
+    /** How long before the end every accepted request is answered, which leaves time to write the answers. */
+    private static final long WRITE_ANSWERS_MS = 100;
+    /** How long before the end the proxy leaves the fleet, after its connections have begun to close. */
+    private static final long LEAVE_FLEET_MS = 300;
+    private static final long IDLE_CHECK_INTERVAL_MS = 10;
 
     private final Log log = new Log("serve");
     private final Clock clock;
@@ -32,95 +33,96 @@
     private final Frontend frontend;
     private final LoopBeat beat;
     private final boolean sharedListener;
-    private final String name;
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final String proxyName;
+    private final CountDownLatch clientsGone = new CountDownLatch(1);
     private volatile boolean begun;
 
     /**
-     * Creates one that has not begun.
+     * Creates a shutdown that has not begun.
      *
-     * @param sharedListener whether clients come over a socket that the next process holds as well
-     * @param name the proxy's, for the log
+     * @param sharedListener whether clients come in over a listening socket that the next process holds as well
+     * @param proxyName the name of the proxy in the log
      */
-    GracefulShutdown(Clock clock, EventLoop loop, Frontend frontend, LoopBeat beat, boolean sharedListener, String name) {
+    GracefulShutdown(Clock clock, EventLoop loop, Frontend frontend, LoopBeat beat, boolean sharedListener, String proxyName) {
         this.clock = clock;
         this.loop = loop;
         this.frontend = frontend;
         this.beat = beat;
         this.sharedListener = sharedListener;
-        this.name = name;
+        this.proxyName = proxyName;
     }
 
     /** Returns whether the process has been told to end. */
-    boolean begun() {
+    boolean hasBegun() {
         return begun;
     }
 
-    /** There are no clients, and none will come. */
-    void nobodyIsLeft() {
-        done.countDown();
+    /** Lets the process end now, because no client is connected and none will come. */
+    void allClientsGone() {
+        clientsGone.countDown();
     }
 
-    /** From now on the process may end as soon as no client is connected any more. Called on the loop. */
-    void watchForTheLastClient() {
+    /** Lets the process end as soon as no client is connected any more. Called on the loop. */
+    void watchForLastClient() {
         loop.scheduleWithFixedDelay(() -> {
             if (!frontend.busy()) {
-                nobodyIsLeft();
+                allClientsGone();
             }
-        }, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        }, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes the proxy down; returns when the process is to end.
+     * Shuts the proxy down. Returns when the process is to end.
      *
-     * @param longestDeadlineMs the longest that a client waits for an answer
-     * @param leave says good-bye to the others of the fleet, within the milliseconds that it is given; as late as can be, as what they
-     *     order meanwhile holds for those who are still served here
+     * @param longestDeadlineMs the longest time that a client waits for an answer
+     * @param leave leaves the fleet; called as late as possible, because orders of the fleet still apply to the clients that are
+     *     served here until then
      */
-    void run(long longestDeadlineMs, Leaving leave) {
-        long endMs = Math.min(longestDeadlineMs, MOST_DEADLINE_MS) + KILL_MS;
+    void run(long longestDeadlineMs, LeaveFleet leave) {
+        long endMs = Math.min(longestDeadlineMs, MAX_DEADLINE_MS) + END_AFTER_DEADLINE_MS;
         long endAtUs = clock.now() + TimeUnit.MILLISECONDS.toMicros(endMs);
         loop.execute(() -> begin(endAtUs, endMs));
         try {
-            boolean all = done.await(endMs - LEAVE_MS, TimeUnit.MILLISECONDS);
-            leave.within(LEAVE_MS);
-            all = all || done.await(endAtUs - clock.now(), TimeUnit.MICROSECONDS);
-            log.info(all ? "drained" : "ends_with_clients", "proxy", name);
+            boolean allGone = clientsGone.await(endMs - LEAVE_FLEET_MS, TimeUnit.MILLISECONDS);
+            leave.within(LEAVE_FLEET_MS);
+            allGone = allGone || clientsGone.await(endAtUs - clock.now(), TimeUnit.MICROSECONDS);
+            log.info(allGone ? "drained" : "ends_with_clients", "proxy", proxyName);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Leaves whatever the process is a part of. */
-    interface Leaving {
-        /** Returns once that is done, or so many milliseconds are over. */
-        void within(long ms) throws InterruptedException;
+    /** Leaves the fleet, if the proxy is a member of one. */
+    interface LeaveFleet {
+        /** Returns once the proxy has left, or after {@code timeoutMs}. */
+        void within(long timeoutMs) throws InterruptedException;
     }
 
     private void begin(long endAtUs, long endMs) {
         begun = true;
-        log.info("draining", "proxy", name);
-        frontend.drain(endAtUs - TimeUnit.MILLISECONDS.toMicros(WRITING_MS));
+        log.info("draining", "proxy", proxyName);
+        frontend.drain(endAtUs - TimeUnit.MILLISECONDS.toMicros(WRITE_ANSWERS_MS));
         if (sharedListener) {
-            // Whoever is not accepted yet is the next process's, and so is whoever has had an answer.
+            // The next process accepts the clients that wait in the queue, and those whose connection is closed here after an answer.
             frontend.stopListening();
             frontend.closeAfterAnswers();
         } else {
-            beforeEnd(endAtUs, endMs - FRONT_LAG_MS, () -> {
+            scheduleBeforeEnd(endAtUs, endMs - FRONT_LAG_MS, () -> {
                 frontend.stopListening();
-                watchForTheLastClient();
+                watchForLastClient();
             });
         }
-        // A look at the sockets later: a listener that was closed in the same turn still takes newcomers in until then.
-        beforeEnd(endAtUs, Math.min(LAST_CALL_MS, endMs - FRONT_LAG_MS), () -> beat.afterLook(() -> {
+        // Connections close only after a further poll of the sockets, because a listener that is closed in the same turn of the loop
+        // accepts its waiting clients until then.
+        scheduleBeforeEnd(endAtUs, Math.min(CLOSE_CONNECTIONS_MS, endMs - FRONT_LAG_MS), () -> beat.afterLook(() -> {
             frontend.closeAfterAnswers();
             frontend.closeIdle();
         }));
-        beforeEnd(endAtUs, WRITING_MS / 2, frontend::answerNow);
+        scheduleBeforeEnd(endAtUs, WRITE_ANSWERS_MS / 2, frontend::answerNow);
     }
 
-    /** Has a task run on the loop so long before a moment on the clock. */
-    private void beforeEnd(long endAtUs, long beforeMs, Runnable task) {
+    /** Schedules a task on the loop for a time before the end of the process. */
+    private void scheduleBeforeEnd(long endAtUs, long beforeMs, Runnable task) {
         long delayUs = endAtUs - TimeUnit.MILLISECONDS.toMicros(beforeMs) - clock.now();
         loop.schedule(task, Math.max(0, delayUs), TimeUnit.MICROSECONDS);
     }
--- a/proxy/src/main/java/walkpost/proxy/Proxy.java
+++ b/proxy/src/main/java/walkpost/proxy/Proxy.java
@@ -16,95 +16,109 @@
 import java.util.function.Consumer;
 
 /**
- * Stands between the module and the sockets: hands the module its events, one at a time, and carries out its actions.
- * It decides nothing. All of it runs on the one event loop.
+ * Connects the {@link Balancer} to the sockets: delivers events to the balancer one at a time and carries out the actions that it returns.
+ * This class makes no decisions. It runs on the proxy's event loop only.
  */
 final class Proxy {
-    /** The client's side of a request. Exactly one of these is called, once. */
+    /**
+     * The client's side of a request, which writes the response. The driver calls exactly one of the four methods that answer, exactly
+     * once, unless the client disconnects first.
+     */
     interface Reply {
+        /** Answers with a server's complete response. */
         void served(Backends.Answer answer);
 
-        /** Served, with an answer that is still coming. */
+        /** Answers with a server's response whose body is still being received. */
         void streams(Backends.Stream stream);
 
+        /** Answers that the request was refused and may be retried after {@code retryAfterUs}; 0 gives no hint. */
         void refused(long retryAfterUs);
 
+        /** Answers that the request failed. */
         void failed();
 
-        /** Returns whether the client is there and still waits for this answer, as far as has been read. */
+        /** Returns whether the client is connected and still waits for this response, judged by the input read so far. */
         boolean clientThere();
 
-        /** Returns whether the client's end may have come some time ago and still lie unread. */
+        /** Returns whether the client may have closed its connection some time ago without the proxy having read that yet. */
         boolean endMayBeUnread();
     }
 
     /**
-     * A client's request. {@code deadlineUs} is on the proxy's clock: the last moment at which an answer can leave and
-     * still be there before the client gives up; where the request has not come {@code whole} yet, the time from there
-     * on is not running. {@code limits} are those under which it came.
+     * A client's request.
+     *
+     * @param deadlineUs the last moment, on the proxy's clock, at which an answer can be sent and still reach the client before it gives up
+     * @param fullyReceived whether the body has been received completely; until then the request's time is not running
+     * @param limits the limits that were in force when the request came in
      */
     record Incoming(String id, String requestClass, String tenant, String key, boolean repeat, long costUs,
-            long deadlineUs, boolean whole, Balancer.Limits limits, Backends.Outgoing outgoing) { }
+            long deadlineUs, boolean fullyReceived, Balancer.Limits limits, Backends.Outgoing outgoing) { }
 
-    /** A request and its attempts, kept until it is answered and no attempt is out. */
+    /** A request and its attempts, kept until the request is finished and none of its attempts is in flight. */
     private static final class Request {
         private final Incoming incoming;
         private final Reply reply;
-        /** By their numbers; null where the attempt was never sent. */
+        /** The attempts by number; null where an attempt was never sent. */
         private final List<Backends.Attempt> attempts = new ArrayList<>(2);
+        /** The time that the request had left when it came in. */
         private final long patienceUs;
         private long deadlineUs;
-        private boolean whole;
-        private int out;
-        /** Attempts that the module has asked for and that are not begun yet. */
-        private int waiting;
-        private boolean over;
-        private Future<?> safety;
-
-        Request(Incoming incoming, Reply reply, long now) {
+        private boolean fullyReceived;
+        private int attemptsInFlight;
+        /** The number of attempts that the balancer has ordered and that have not begun yet. */
+        private int attemptsPending;
+        /** Whether the request has been answered or its client has disconnected. */
+        private boolean finished;
+        private Future<?> safetyTimer;
+
+        Request(Incoming incoming, Reply reply, long nowUs) {
             this.incoming = incoming;
             this.reply = reply;
             this.deadlineUs = incoming.deadlineUs();
-            this.patienceUs = deadlineUs - now;
-            this.whole = incoming.whole();
+            this.patienceUs = deadlineUs - nowUs;
+            this.fullyReceived = incoming.fullyReceived();
         }
 
-        /** What is left of its time, all of it as long as the request is still coming. */
-        long leftUs(long now) {
-            return whole ? deadlineUs - now : patienceUs;
+        /** Returns the time left until the deadline; all of it while the body is still being received. */
+        long leftUs(long nowUs) {
+            return fullyReceived ? deadlineUs - nowUs : patienceUs;
         }
     }
 
-    /** How long after its deadline a request is answered by the proxy, if the module has not: the module goes first. */
-    private static final long SAFETY_US = 2_000;
-    /** So often at most are the sockets looked at before an attempt begins: whoever goes on sending is there. */
-    private static final int MOST_LOOKS = 20;
+    /** How long after a request's deadline the proxy itself fails it; the delay lets the balancer answer first. */
+    private static final long SAFETY_DELAY_US = 2_000;
+    /**
+     * How often at most the sockets are polled before an attempt begins. A client that still sends data after that many polls is
+     * taken to be connected.
+     */
+    private static final int MAX_POLLS_BEFORE_ATTEMPT = 20;
 
     private final Clock clock;
     private final EventLoop loop;
     private final Log log = new Log("proxy");
     private final LoopBeat beat;
-    private final Balancer module;
+    private final Balancer balancer;
     private final Backends backends;
     private final Map<String, Request> requests = new HashMap<>();
     private final Queue<Event> events = new ArrayDeque<>();
     private final List<Action> actions = new ArrayList<>();
     private Discovery discovery;
-    private boolean handling;
+    private boolean delivering;
 
-    Proxy(Clock clock, EventLoop loop, Balancer module, Backends backends) {
+    Proxy(Clock clock, EventLoop loop, Balancer balancer, Backends backends) {
         this.clock = clock;
         this.loop = loop;
         this.beat = new LoopBeat(clock, loop);
-        this.module = module;
+        this.balancer = balancer;
         this.backends = backends;
     }
 
-    void discovery(Discovery calls) {
-        discovery = calls;
+    /** Sets the discovery client that carries out {@link Balancer.Watch} and {@link Balancer.Fetch}. */
+    void discovery(Discovery client) {
+        discovery = client;
     }
 
-    /** Returns what tells whether the loop was held up; whoever lets clients in starts it. */
+    /** Returns the monitor of delays of the event loop. The caller that opens the listener starts it. */
     LoopBeat beat() {
         return beat;
     }
@@ -114,185 +128,188 @@
         return clock.now();
     }
 
-    /** Returns the number of requests that still want an answer or have attempts out. */
+    /** Returns the number of requests that are unanswered or have attempts in flight. */
     int open() {
         return requests.size();
     }
 
+    /** Returns whether a request with this id is unanswered or has attempts in flight. */
     boolean knows(String id) {
         return requests.containsKey(id);
     }
 
     // Events
 
+    /** Takes a client's request in. Fails it at once if its deadline has passed. */
     void arrived(Incoming incoming, Reply reply) {
-        long now = clock.now();
-        if (now >= incoming.deadlineUs()) {
+        long nowUs = clock.now();
+        if (nowUs >= incoming.deadlineUs()) {
             reply.failed();
             return;
         }
-        var r = new Request(incoming, reply, now);
-        requests.put(incoming.id(), r);
-        if (r.whole) {
-            watch(r);
+        var request = new Request(incoming, reply, nowUs);
+        requests.put(incoming.id(), request);
+        if (request.fullyReceived) {
+            startSafetyTimer(request);
         }
         deliver(new Balancer.Arrival(incoming.id(), incoming.requestClass(), incoming.tenant(), incoming.key(),
-                incoming.deadlineUs() - now, incoming.repeat(), incoming.costUs()));
+                incoming.deadlineUs() - nowUs, incoming.repeat(), incoming.costUs()));
     }
 
-    /** A request that was still coming is whole now: its time runs from here on. */
+    /** Records that the body of a request has been received completely. The request's time runs from now on. */
     void whole(String id, long deadlineUs) {
-        Request r = requests.get(id);
-        if (r != null && !r.over) {
-            r.deadlineUs = deadlineUs;
-            r.whole = true;
-            watch(r);
+        Request request = requests.get(id);
+        if (request != null && !request.finished) {
+            request.deadlineUs = deadlineUs;
+            request.fullyReceived = true;
+            startSafetyTimer(request);
         }
     }
 
-    private void watch(Request r) {
-        r.safety = loop.schedule(() -> overdue(r), r.deadlineUs + SAFETY_US - clock.now(), TimeUnit.MICROSECONDS);
+    private void startSafetyTimer(Request request) {
+        request.safetyTimer = loop.schedule(() -> failOverdue(request), request.deadlineUs + SAFETY_DELAY_US - clock.now(),
+                TimeUnit.MICROSECONDS);
     }
 
-    /** The client has closed its connection before it had an answer. */
+    /** Ends a request whose client has closed its connection before it had an answer. */
     void clientGone(String id) {
-        Request r = requests.get(id);
-        if (r != null && !r.over) {
-            over(r);
+        Request request = requests.get(id);
+        if (request != null && !request.finished) {
+            finish(request);
             deliver(new Balancer.ClientGone(id));
-            forget(r);
+            removeIfDone(request);
         }
     }
 
-    /** Guards against a module that never answers: whatever happens, the client hears of its request in time. */
-    private void overdue(Request r) {
-        if (!r.over) {
-            answer(r, Reply::failed);
-            deliver(new Balancer.ClientGone(r.incoming.id()));
-            forget(r);
+    /** Fails a request that the balancer has not answered, so that every client gets an answer in time. */
+    private void failOverdue(Request request) {
+        if (!request.finished) {
+            answer(request, Reply::failed);
+            deliver(new Balancer.ClientGone(request.incoming.id()));
+            removeIfDone(request);
         }
     }
 
-    /** Discovery's news, or {@link Balancer.ListKind#FAILED} where a call has brought none. */
+    /** Applies an update of the server list; {@link Balancer.ListKind#FAILED} reports a call to discovery that brought none. */
     void members(Balancer.ListKind kind, List<Backends.Listed> listed) {
         List<Backends.Attempt> unsent = kind == Balancer.ListKind.FAILED ? List.of() : backends.update(kind, listed);
         deliver(new Balancer.Members(kind, listed.stream().map(Backends.Listed::backend).toList()));
-        // The module has heard why by now, and sends them elsewhere.
-        unsent.forEach(a -> a.abort(Outcome.NOT_SENT));
+        // The balancer knows the new list by now, so it retries these attempts on other servers.
+        unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
     }
 
-    /** The settings are others from now on. */
+    /** Passes new settings to the balancer. */
     void retuned(Balancer.Settings settings) {
         deliver(new Balancer.Retuned(settings));
     }
 
-    /** Returns whether the operators may speak of a backend by this id. */
+    /** Returns whether a server of this id is listed or excluded, so that operators may name it. */
     boolean knowsBackend(String id) {
         return backends.knows(id);
     }
 
-    /** The operators take a backend out. */
-    void excluded(String backend) {
-        List<Backends.Attempt> unsent = backends.exclude(backend);
-        deliver(new Balancer.Excluded(backend));
-        unsent.forEach(a -> a.abort(Outcome.NOT_SENT));
+    /** Takes a server out of use, on an operator's order. */
+    void excluded(String serverId) {
+        List<Backends.Attempt> unsent = backends.exclude(serverId);
+        deliver(new Balancer.Excluded(serverId));
+        unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
     }
 
-    /** The operators give a backend back. */
-    void included(String backend) {
-        backends.include(backend);
-        deliver(new Balancer.Included(backend));
+    /** Puts an excluded server back into use, on an operator's order. */
+    void included(String serverId) {
+        backends.include(serverId);
+        deliver(new Balancer.Included(serverId));
     }
 
-    /** What becomes of one attempt of a request. */
-    private final class Course implements Backends.AttemptListener {
-        private final Request r;
+    /** Reports the progress of one attempt to the balancer, and passes its response to the client. */
+    private final class AttemptTracker implements Backends.AttemptListener {
+        private final Request request;
         private final int number;
-        private final String backend;
+        private final String serverId;
 
-        Course(Request r, int number, String backend) {
-            this.r = r;
+        AttemptTracker(Request request, int number, String serverId) {
+            this.request = request;
             this.number = number;
-            this.backend = backend;
+            this.serverId = serverId;
         }
 
         @Override
         public void sending() {
-            deliver(new Balancer.RequestSending(r.incoming.id(), number));
+            deliver(new Balancer.RequestSending(request.incoming.id(), number));
         }
 
         @Override
         public void sent() {
-            deliver(new Balancer.RequestSent(r.incoming.id(), number, r.leftUs(clock.now())));
+            deliver(new Balancer.RequestSent(request.incoming.id(), number, request.leftUs(clock.now())));
         }
 
         @Override
         public void streams(Backends.Stream stream) {
-            if (r.over) {
+            if (request.finished) {
                 stream.body().cancel();
             } else {
-                // The module first: it may not count on this request for anything that the answer sets off.
-                deliver(new Balancer.StreamStarted(r.incoming.id(), number));
-                answer(r, reply -> reply.streams(stream));
+                // The balancer is informed first, so that it no longer counts on this request when the answer causes further events.
+                deliver(new Balancer.StreamStarted(request.incoming.id(), number));
+                answer(request, reply -> reply.streams(stream));
             }
         }
 
         @Override
         public void ended(Outcome outcome, long latencyUs, Backends.Answer answer) {
-            r.out--;
-            if (answer != null && !r.over) {
-                answer(r, reply -> reply.served(answer));
+            request.attemptsInFlight--;
+            if (answer != null && !request.finished) {
+                answer(request, reply -> reply.served(answer));
             } else if (answer != null) {
                 answer.body().release();
             }
-            deliver(new Balancer.AttemptEnded(r.incoming.id(), number, backend, outcome, latencyUs, r.over));
-            forget(r);
+            deliver(new Balancer.AttemptEnded(request.incoming.id(), number, serverId, outcome, latencyUs, request.finished));
+            removeIfDone(request);
         }
     }
 
-    /** Gives the one answer; where that goes wrong it is a failure, as the request is taken all the same. */
-    private void answer(Request r, Consumer<Reply> answer) {
-        over(r);
+    /** Gives the request its one answer. An answer that can't be written becomes a failure, because the request has been accepted. */
+    private void answer(Request request, Consumer<Reply> answer) {
+        finish(request);
         try {
-            answer.accept(r.reply);
+            answer.accept(request.reply);
         } catch (RuntimeException e) {
-            log.failure("answer_failed", e, "request", r.incoming.id());
-            r.reply.failed();
+            log.failure("answer_failed", e, "request", request.incoming.id());
+            request.reply.failed();
         }
     }
 
-    private void over(Request r) {
-        r.over = true;
-        if (r.safety != null) {
-            r.safety.cancel(false);
+    private void finish(Request request) {
+        request.finished = true;
+        if (request.safetyTimer != null) {
+            request.safetyTimer.cancel(false);
         }
     }
 
-    private void forget(Request r) {
-        if (r.over && r.out + r.waiting == 0) {
-            requests.remove(r.incoming.id(), r);
+    private void removeIfDone(Request request) {
+        if (request.finished && request.attemptsInFlight + request.attemptsPending == 0) {
+            requests.remove(request.incoming.id(), request);
         }
     }
 
-    /** Hands events over one by one: an action may bring the next event, which waits until all of them are done. */
+    /** Delivers events in order. An event that is caused by an action waits until all actions of the current event are done. */
     private void deliver(Event event) {
         events.add(event);
-        if (handling) {
+        if (delivering) {
             return;
         }
-        handling = true;
+        delivering = true;
         try {
             for (Event next = events.poll(); next != null; next = events.poll()) {
                 handle(next);
             }
         } finally {
-            handling = false;
+            delivering = false;
         }
     }
 
     private void handle(Event event) {
         try {
-            module.handle(clock.now(), event, actions::add);
+            balancer.handle(clock.now(), event, actions::add);
         } catch (RuntimeException e) {
             log.failure("decision_failed", e, "on", event);
             failRequestOf(event);
@@ -307,104 +324,106 @@
         actions.clear();
     }
 
-    /** An error costs the request that it came with, not the proxy and all the others that it holds. */
+    /** Fails the request of an event that made the balancer throw, so that the error costs no other request. */
     private void failRequestOf(Event event) {
-        String id = event instanceof Balancer.Arrival a ? a.id() : event instanceof Balancer.AttemptEnded a ? a.id() : null;
+        String id = event instanceof Balancer.Arrival arrival ? arrival.id()
+                : event instanceof Balancer.AttemptEnded end ? end.id() : null;
         if (id != null) {
-            finish(id, Reply::failed);
+            answerIfOpen(id, Reply::failed);
         }
     }
 
     // Actions
 
     private void carryOut(Action action) {
-        if (action instanceof Balancer.Send a) {
-            send(a);
-        } else if (action instanceof Balancer.SetTimer a) {
-            loop.schedule(() -> deliver(new Balancer.TimerFired(a.token())), Math.max(0, a.atUs() - clock.now()),
+        if (action instanceof Balancer.Send send) {
+            send(send);
+        } else if (action instanceof Balancer.SetTimer timer) {
+            loop.schedule(() -> deliver(new Balancer.TimerFired(timer.token())), Math.max(0, timer.atUs() - clock.now()),
                     TimeUnit.MICROSECONDS);
-        } else if (action instanceof Balancer.Refuse a) {
-            finish(a.id(), reply -> reply.refused(a.retryAfterUs()));
-        } else if (action instanceof Balancer.Fail a) {
-            finish(a.id(), Reply::failed);
-        } else if (action instanceof Balancer.Cancel a) {
-            Request r = requests.get(a.id());
-            Backends.Attempt attempt = r == null || a.attempt() >= r.attempts.size() ? null : r.attempts.get(a.attempt());
-            if (attempt != null && r.incoming.limits().cancel()) {
+        } else if (action instanceof Balancer.Refuse refuse) {
+            answerIfOpen(refuse.id(), reply -> reply.refused(refuse.retryAfterUs()));
+        } else if (action instanceof Balancer.Fail fail) {
+            answerIfOpen(fail.id(), Reply::failed);
+        } else if (action instanceof Balancer.Cancel cancel) {
+            Request request = requests.get(cancel.id());
+            Backends.Attempt attempt = request == null || cancel.attempt() >= request.attempts.size() ? null
+                    : request.attempts.get(cancel.attempt());
+            if (attempt != null && request.incoming.limits().cancel()) {
                 attempt.abort(Outcome.CANCELLED);
             }
-        } else if (action instanceof Balancer.Release a) {
-            backends.release(a.backend());
-        } else if (action instanceof Balancer.Watch a) {
-            discovery.watch(a.on());
+        } else if (action instanceof Balancer.Release release) {
+            backends.release(release.backend());
+        } else if (action instanceof Balancer.Watch watch) {
+            discovery.watch(watch.on());
         } else if (action instanceof Balancer.Fetch) {
             discovery.fetch();
-        } else if (action instanceof Balancer.Log a) {
-            log.info("module", "text", a.text());
+        } else if (action instanceof Balancer.Log line) {
+            log.info("module", "text", line.text());
         } else {
-            // The module never probes, and where this proxy runs it may not.
-            throw new UnsupportedOperationException("no such action here");
+            // Only probes are left: the balancer orders none, and the platform of this proxy does not allow them.
+            throw new UnsupportedOperationException("unsupported action " + action + ": this proxy sends no probes");
         }
     }
 
-    private void finish(String id, Consumer<Reply> answer) {
-        Request r = requests.get(id);
-        if (r != null && !r.over) {
-            answer(r, answer);
-            forget(r);
+    private void answerIfOpen(String id, Consumer<Reply> answer) {
+        Request request = requests.get(id);
+        if (request != null && !request.finished) {
+            answer(request, answer);
+            removeIfDone(request);
         }
     }
 
     /**
-     * Where the loop was held up, or the client's connection has waited to be read, its end may lie unread: the attempt
-     * waits until that has been looked for. Nothing is begun for a client that has gone.
+     * Prepares the next attempt of a request. If the loop was delayed, or the client's connection has waited to be read, the client's close
+     * may be unread: the attempt then waits until the sockets have been polled, because no attempt may begin for a client that has gone.
      */
     private void send(Balancer.Send send) {
-        Request r = requests.get(send.id());
-        if (r == null) {
+        Request request = requests.get(send.id());
+        if (request == null) {
             return;
         }
-        int number = r.attempts.size();
-        r.attempts.add(null);
-        r.waiting++;
+        int number = request.attempts.size();
+        request.attempts.add(null);
+        request.attemptsPending++;
         if (beat.heldUp()) {
-            beat.afterLook(() -> look(r, number, send, MOST_LOOKS - 1));
+            beat.afterLook(() -> beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT - 1));
         } else {
-            look(r, number, send, MOST_LOOKS);
+            beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT);
         }
     }
 
-    private void look(Request r, int number, Balancer.Send send, int looks) {
-        if (!r.over && looks > 0 && r.reply.endMayBeUnread()) {
-            beat.afterLook(() -> look(r, number, send, looks - 1));
+    private void beginOncePolled(Request request, int number, Balancer.Send send, int pollsLeft) {
+        if (!request.finished && pollsLeft > 0 && request.reply.endMayBeUnread()) {
+            beat.afterLook(() -> beginOncePolled(request, number, send, pollsLeft - 1));
         } else {
-            begin(r, number, send);
+            begin(request, number, send);
         }
     }
 
-    private void begin(Request r, int number, Balancer.Send send) {
-        if (!r.over && !r.reply.clientThere()) {
+    private void begin(Request request, int number, Balancer.Send send) {
+        if (!request.finished && !request.reply.clientThere()) {
             clientGone(send.id());
         }
-        r.waiting--;
-        Backends.Attempt attempt = r.over ? null : attempt(r, number, send);
-        r.attempts.set(number, attempt);
+        request.attemptsPending--;
+        Backends.Attempt attempt = request.finished ? null : createAttempt(request, number, send);
+        request.attempts.set(number, attempt);
         if (attempt == null) {
-            deliver(new Balancer.AttemptEnded(send.id(), number, send.backend(), Outcome.NOT_SENT, 0, r.over));
-            forget(r);
+            deliver(new Balancer.AttemptEnded(send.id(), number, send.backend(), Outcome.NOT_SENT, 0, request.finished));
+            removeIfDone(request);
         } else {
-            r.out++;
+            request.attemptsInFlight++;
             attempt.start();
         }
     }
 
-    /** Returns an attempt that may be started, or null where this one may not. */
-    private Backends.Attempt attempt(Request r, int number, Balancer.Send send) {
-        long left = r.leftUs(clock.now());
-        long timeoutUs = send.timeoutUs() == 0 ? left : Math.min(send.timeoutUs(), left);
-        Balancer.Limits limits = r.incoming.limits();
-        return number >= limits.maxAttempts() || timeoutUs <= 0 || r.out > 0 && !limits.secondCopies() ? null
-                : backends.attempt(send.backend(), r.incoming.outgoing(), timeoutUs, send.sendByUs(),
-                        new Course(r, number, send.backend()));
+    /** Returns an attempt that may be started, or null if the limits, the time left or the server don't allow one. */
+    private Backends.Attempt createAttempt(Request request, int number, Balancer.Send send) {
+        long leftUs = request.leftUs(clock.now());
+        long timeoutUs = send.timeoutUs() == 0 ? leftUs : Math.min(send.timeoutUs(), leftUs);
+        Balancer.Limits limits = request.incoming.limits();
+        return number >= limits.maxAttempts() || timeoutUs <= 0 || request.attemptsInFlight > 0 && !limits.secondCopies() ? null
+                : backends.attempt(send.backend(), request.incoming.outgoing(), timeoutUs, send.sendByUs(),
+                        new AttemptTracker(request, number, send.backend()));
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Serve.java
+++ b/proxy/src/main/java/walkpost/proxy/Serve.java
@@ -14,23 +14,24 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 
-/** Runs one real proxy: puts its parts together, and takes it down when it is told to end. */
+/** Runs one proxy process: wires its components, starts them, reloads the configuration on SIGHUP and shuts down gracefully. */
 public final class Serve {
-    private static final long LOOK_MS = 10;
-    /** Bodies that are waiting may take one part of so many of the memory: the process itself needs a third and more. */
-    private static final int BUFFERS_PART = 8;
-    /** Clients are taken in after so long even where there is no backend to send to, as nobody else may be there. */
-    private static final long READY_MS = 5_000;
-    /** The folder, among what the process may write, where the exclusions stand. */
+    /** How often the start checks whether the proxy is ready to accept clients. */
+    private static final long READY_CHECK_INTERVAL_MS = 10;
+    /** Buffered bodies may take one eighth of the memory, because the process itself needs more than a third of it. */
+    private static final int BUFFER_MEMORY_DIVISOR = 8;
+    /** How long the start waits for a server to send to. It then accepts clients anyway, because no other proxy may be there. */
+    private static final long READY_TIMEOUT_MS = 5_000;
+    /** The subdirectory of the writable directory that stores the exclusions ordered at this proxy's operator endpoint. */
     private static final String EXCLUDED = "excluded";
-    /** The same for those of the fleet. */
+    /** The subdirectory of the writable directory that stores the exclusions ordered through the fleet. */
     private static final String EXCLUDED_BY_FLEET = "excluded-by-fleet";
     private volatile Config config;
-    private final Surroundings surroundings;
+    private final Surroundings environment;
     private final Log log = new Log("serve");
     private final Clock clock;
     private final SystemCallFailures failures = new SystemCallFailures();
-    private final LoopWakeup wakeup = new LoopWakeup(NioIoHandler.newFactory(), failures);
+    private final LoopWakeup ioHandlers = new LoopWakeup(NioIoHandler.newFactory(), failures);
     private final EventLoop loop;
     private final Proxy proxy;
     private final Discovery discovery;
@@ -39,69 +40,70 @@
     private final TakenOut takenOut;
     private final Exclusions exclusions;
     private final GracefulShutdown shutdown;
-    /** Null where this proxy is in no fleet. */
+    /** The proxy's membership in the fleet; null if it is in no fleet. */
     private volatile FleetSide fleet;
 
-    Serve(Config config, Surroundings surroundings) {
-        this(config, surroundings, new Policy(config.settings()));
+    Serve(Config config, Surroundings environment) {
+        this(config, environment, new Policy(config.settings()));
     }
 
-    Serve(Config config, Surroundings surroundings, Balancer module) {
-        this(config, surroundings, new Clock(), module);
+    Serve(Config config, Surroundings environment, Balancer balancer) {
+        this(config, environment, new Clock(), balancer);
     }
 
-    Serve(Config config, Surroundings surroundings, Clock clock, Balancer module) {
+    Serve(Config config, Surroundings environment, Clock clock, Balancer balancer) {
         this.config = config;
         this.clock = clock;
-        this.surroundings = surroundings;
-        if (shared()) {
+        this.environment = environment;
+        if (sharesListener()) {
             Log.keepErrorStream();
         }
-        loop = newLoop(wakeup);
+        loop = newLoop(ioHandlers);
         var settings = config.settings();
-        // A constant: to read it loads nothing.
-        int descriptors = config.sockets() - (surroundings.fleet() == null ? 0 : FleetLink.MOST_DESCRIPTORS);
-        var sockets = shared() ? Sockets.halfOf(descriptors) : new Sockets(descriptors);
-        var buffers = new Buffers(config.memory() / (shared() ? 2 * BUFFERS_PART : BUFFERS_PART));
-        backends = new Backends(clock, loop, () -> new RetryingSocketChannel(failures), sockets, buffers, config.connIdleUs(), config.connectTimeoutUs());
-        proxy = new Proxy(clock, loop, module, backends);
+        // MOST_DESCRIPTORS is a compile-time constant, so reading it loads no class of the fleet.
+        int descriptors = config.sockets() - (environment.fleet() == null ? 0 : FleetLink.MOST_DESCRIPTORS);
+        var connections = sharesListener() ? Sockets.halfOf(descriptors) : new Sockets(descriptors);
+        var buffers = new Buffers(config.memory() / (sharesListener() ? 2 * BUFFER_MEMORY_DIVISOR : BUFFER_MEMORY_DIVISOR));
+        backends = new Backends(clock, loop, () -> new RetryingSocketChannel(failures), connections, buffers, config.connIdleUs(),
+                config.connectTimeoutUs());
+        proxy = new Proxy(clock, loop, balancer, backends);
         discovery = new Discovery(loop, () -> new RetryingSocketChannel(failures), proxy, config.discovery(), settings);
         proxy.discovery(discovery);
-        frontend = new Frontend(proxy, sockets, buffers, settings, this::available);
-        shutdown = new GracefulShutdown(clock, loop, frontend, proxy.beat(), shared(), config.name());
+        frontend = new Frontend(proxy, connections, buffers, settings, this::canServe);
+        shutdown = new GracefulShutdown(clock, loop, frontend, proxy.beat(), sharesListener(), config.name());
         takenOut = new TakenOut(proxy);
-        exclusions = new Exclusions(loop, takenOut, surroundings.temp().resolve(EXCLUDED), "operators");
+        exclusions = new Exclusions(loop, takenOut, environment.tempDir().resolve(EXCLUDED), "operators");
     }
 
-    private static EventLoop newLoop(LoopWakeup wakeup) {
+    private static EventLoop newLoop(LoopWakeup ioHandlers) {
         try {
-            return new StartRetry().untilDone("event loop",  () -> new MultiThreadIoEventLoopGroup(1, wakeup).next());
+            return new StartRetry().untilDone("event loop", () -> new MultiThreadIoEventLoopGroup(1, ioHandlers).next());
         } catch (RuntimeException e) {
             throw e;
         } catch (Exception e) {
-            throw new IllegalStateException("no event loop", e);
+            throw new IllegalStateException("can't create the event loop", e);
         }
     }
 
     /**
-     * Serves until the process is told to end.
+     * Serves until the process gets SIGTERM.
      *
-     * @param args not used: all that a proxy is told stands in the file that {@code PROXY_CONFIG} names
+     * @param args not used: the proxy is configured by the file that {@code PROXY_CONFIG} names and by environment variables
      */
     public static void main(String[] args) {
         try {
-            Path file = file();
-            Config config = Config.read(file);
+            Path configFile = configFile();
+            Config config = Config.read(configFile);
             Serve serve = new Serve(config, Surroundings.of(System.getenv(), config));
-            serve.begin();
-            int requests = Warmup.requests(config.settings(), config.cores());
+            serve.start();
+            int requests = Warmup.requestCount(config.settings(), config.cores());
             if (requests > 0) {
                 serve.warmUp(requests);
             }
-            Signals.handle("HUP", () -> serve.reconfigure(file));
+            Signals.handle("HUP", () -> serve.reconfigure(configFile));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 serve.drain();
-                // All is answered and nothing is left to be tidied up.
+                // Halts without an orderly exit, because every request is answered and nothing is left to clean up.
                 Runtime.getRuntime().halt(0);
             }, "drain"));
             serve.listen();
@@ -110,16 +112,16 @@
         }
     }
 
-    /** Does all that a proxy does up to its first client, and ends: for the archive of classes that the build makes. */
+    /** Starts, warms up, listens and stops a proxy, so that the build can record the classes of a start in a class data archive. */
     public static void rehearse() {
         try {
-            Config config = Config.read(file());
-            // Without the fleet: the archive is for all, and few are in one.
+            Config config = Config.read(configFile());
+            // The fleet is left out, because all proxies use the archive and few are in a fleet.
             var environment = new HashMap<>(System.getenv());
             environment.remove(Surroundings.FLEET);
             Serve serve = new Serve(config, Surroundings.of(environment, config));
-            serve.begin();
-            serve.warmUp(Warmup.MOST_REQUESTS);
+            serve.start();
+            serve.warmUp(Warmup.MAX_REQUESTS);
             serve.listen();
             serve.stop();
         } catch (Config.BadConfig e) {
@@ -127,39 +129,43 @@
         }
     }
 
-    private static Path file() throws Config.BadConfig {
+    private static Path configFile() throws Config.BadConfig {
         String file = System.getenv("PROXY_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new Config.BadConfig("PROXY_CONFIG is not set");
+            throw new Config.BadConfig("PROXY_CONFIG is not set; set it to the path of the configuration file");
         }
         return Path.of(file);
     }
 
     private void warmUp(int requests) {
-        int served = Warmup.run(config.settings(), requests, surroundings.temp(), Warmup.CLIENTS, Warmup.FIRST_MS,
-                Warmup.MOST_MS);
-        log.info("warmed_up", "requests", served);
+        int answered = Warmup.run(config.settings(), requests, environment.tempDir(), Warmup.CLIENTS, Warmup.FIRST_ANSWER_TIMEOUT_MS,
+                Warmup.TIMEOUT_MS);
+        log.info("warmed_up", "requests", answered);
     }
 
     private static void exit(Config.BadConfig e) {
         new Log("serve").failure("bad_configuration", e);
-        // At once: there is nothing to drain.
+        // Halts at once, because the proxy has not accepted any client that it would have to drain.
         Runtime.getRuntime().halt(2);
     }
 
-    /** Learns of the backends, joins the fleet, and hears the operators; returns where, or null where they don't call. */
-    InetSocketAddress begin() throws Config.BadConfig {
+    /**
+     * Loads the last known servers, joins the fleet and opens the operator endpoint.
+     *
+     * @return the address of the operator endpoint, or null if there is none
+     */
+    InetSocketAddress start() throws Config.BadConfig {
         loop.execute(() -> discovery.known(config.known()));
-        if (surroundings.fleet() != null) {
-            var ordered = new Exclusions(loop, takenOut, surroundings.temp().resolve(EXCLUDED_BY_FLEET), "fleet");
-            fleet = FleetLink.join(surroundings.fleet(), shared(), loop, clock, ordered, this::condition);
+        if (environment.fleet() != null) {
+            var fleetExclusions = new Exclusions(loop, takenOut, environment.tempDir().resolve(EXCLUDED_BY_FLEET), "fleet");
+            fleet = FleetLink.join(environment.fleet(), sharesListener(), loop, clock, fleetExclusions, this::condition);
         }
-        if (surroundings.operator() == null) {
+        if (environment.operatorAddress() == null) {
             return null;
         }
         loop.execute(exclusions::start);
         var endpoint = new OperatorEndpoint(frontend::ready, exclusions, fleet);
-        return bound("operator", () -> endpoint.listen(loop, surroundings.operator(), failures));
+        return bind("operator", () -> endpoint.listen(loop, environment.operatorAddress(), failures));
     }
 
     private FleetSide.Condition condition() {
@@ -167,84 +173,90 @@
         return new FleetSide.Condition(frontend.ready(), proxy.open(), backends.ready(), version == null ? "unknown" : version);
     }
 
-    /** Whether two processes serve at once during an upgrade, within the limits of one. */
-    private boolean shared() {
-        return surroundings.clients() != null;
+    /** Returns whether two processes serve at once during an upgrade, over one listening socket and within the limits of one process. */
+    private boolean sharesListener() {
+        return environment.inheritedListener() != null;
     }
 
-    /** Begins to serve; returns the address, or null if it is too late. Over a socket that others serve as well it begins only once it is ready. */
+    /**
+     * Starts to accept clients. On an inherited socket, which other processes serve as well, it accepts only once the proxy is ready.
+     *
+     * @return the address, or null if the shutdown has already begun
+     */
     InetSocketAddress listen() throws Config.BadConfig {
-        if (shared()) {
-            long latest = clock.now() + TimeUnit.MILLISECONDS.toMicros(READY_MS);
-            loop.execute(() -> listenOnceReady(latest));
+        if (sharesListener()) {
+            long latestUs = clock.now() + TimeUnit.MILLISECONDS.toMicros(READY_TIMEOUT_MS);
+            loop.execute(() -> listenOnceReady(latestUs));
             try {
-                return (InetSocketAddress) surroundings.clients().getLocalAddress();
+                return (InetSocketAddress) environment.inheritedListener().getLocalAddress();
             } catch (IOException e) {
-                throw new Config.BadConfig("the inherited socket: " + e);
+                throw new Config.BadConfig("PROXY_LISTEN_FD: can't get the address of the inherited listening socket: " + e);
             }
         }
-        // Told to end before it could begin, it takes nobody in.
-        InetSocketAddress address = bound("listen",
+        // If the process was told to end before it could listen, it accepts no client.
+        InetSocketAddress address = bind("listen",
                 () -> frontend.ended() ? null : frontend.listen(loop, () -> new ClientsSocket(failures), config.listen()));
         if (address == null) {
             return null;
         }
-        // Nobody else hands the loop what can't wait for its next beat: clients over an inherited socket are accepted by another thread.
-        wakeup.byTimer();
+        // From now on the loop's periodic timer finds the tasks of other threads soon enough. Only the thread that accepts clients on an
+        // inherited socket submits tasks that can't wait for that timer, and this proxy has none.
+        ioHandlers.byTimer();
         log.info("listening", "proxy", config.name(), "port", address.getPort());
         return address;
     }
 
-    private void listenOnceReady(long latest) {
-        if (shutdown.begun()) {
-            shutdown.nobodyIsLeft();
-        } else if (available() || clock.now() >= latest) {
-            frontend.listen(loop, surroundings.clients(), failures, shutdown::watchForTheLastClient);
+    private void listenOnceReady(long latestUs) {
+        if (shutdown.hasBegun()) {
+            shutdown.allClientsGone();
+        } else if (canServe() || clock.now() >= latestUs) {
+            frontend.listen(loop, environment.inheritedListener(), failures, shutdown::watchForLastClient);
             log.info("listening", "proxy", config.name(), "socket", "inherited");
         } else {
-            loop.schedule(() -> listenOnceReady(latest), LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> listenOnceReady(latestUs), READY_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean available() {
+    private boolean canServe() {
         return discovery.settled() && backends.ready() > 0;
     }
 
-    private InetSocketAddress bound(String field, Callable<ChannelFuture> listen) throws Config.BadConfig {
+    private InetSocketAddress bind(String field, Callable<ChannelFuture> listen) throws Config.BadConfig {
         try {
-            Channel bound = new StartRetry().untilDone(field, () -> boundOnce(listen));
-            return bound == null ? null : (InetSocketAddress) bound.localAddress();
+            Channel channel = new StartRetry().untilDone(field, () -> bindOnce(listen));
+            return channel == null ? null : (InetSocketAddress) channel.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return null;
         } catch (Exception e) {
-            throw new Config.BadConfig("'" + field + "': " + e.getMessage());
+            throw new Config.BadConfig("'" + field + "': can't listen at this address: " + e.getMessage());
         }
     }
 
-    /** Returns the channel that listens, or null where it is not to listen any more. */
-    private Channel boundOnce(Callable<ChannelFuture> listen) {
+    /** Returns the listening channel, or null if the shutdown has begun. */
+    private Channel bindOnce(Callable<ChannelFuture> listen) {
         ChannelFuture bound = loop.submit(listen).syncUninterruptibly().getNow();
-        if (bound == null || !bound.awaitUninterruptibly().isSuccess() && shutdown.begun()) {
+        if (bound == null || !bound.awaitUninterruptibly().isSuccess() && shutdown.hasBegun()) {
             return null;
         }
         return bound.syncUninterruptibly().channel();
     }
 
     /**
-     * Takes over what may change while the proxy runs: the settings, and where discovery is. A bad file changes nothing. The file is
-     * read where this is called, not on the loop: with thousands of tenants that takes longer than a request may wait.
+     * Reloads the configuration: the settings and the address of discovery, which may change while the proxy runs. A file that is not
+     * valid changes nothing. The file is read on the calling thread and not on the loop, because with thousands of tenants that takes
+     * longer than a request may wait.
      */
-    synchronized void reconfigure(Path file) {
+    synchronized void reconfigure(Path configFile) {
         try {
-            Config next = Config.read(file);
-            loop.execute(() -> takeOver(next));
+            Config next = Config.read(configFile);
+            loop.execute(() -> apply(next));
         } catch (Config.BadConfig e) {
-            loop.execute(() -> keepOld(e));
+            loop.execute(() -> logRejectedConfig(e));
         }
     }
 
-    private void takeOver(Config read) {
+    private void apply(Config read) {
         try {
             Config next = config.next(read);
             config = next;
@@ -256,29 +268,29 @@
             log.info("configuration_taken_over", "proxy", next.name(), "discovery", next.discovery(), "classes",
                     next.settings().classes().stream().map(Balancer.RequestClass::name).toList());
         } catch (Config.BadConfig e) {
-            keepOld(e);
+            logRejectedConfig(e);
         }
     }
 
-    private void keepOld(Config.BadConfig e) {
+    private void logRejectedConfig(Config.BadConfig e) {
         log.warn("bad_configuration", "proxy", config.name(), "holding", "the old one", "reason", e.getMessage());
     }
 
-    /** Answers all that is taken, and returns when the process is to end. */
+    /** Answers all accepted requests. Returns when the process is to end. */
     void drain() {
-        long longestMs = config.settings().classes().stream().mapToLong(c -> c.deadlineUs()).max().orElse(0) / 1_000;
-        shutdown.run(longestMs, this::leave);
+        long longestDeadlineMs = config.settings().classes().stream().mapToLong(c -> c.deadlineUs()).max().orElse(0) / 1_000;
+        shutdown.run(longestDeadlineMs, this::leaveFleet);
     }
 
-    private void leave(long withinMs) throws InterruptedException {
+    private void leaveFleet(long timeoutMs) throws InterruptedException {
         if (fleet != null) {
             var leaving = new Thread(fleet::close, "leave");
             leaving.start();
-            leaving.join(withinMs);
+            leaving.join(timeoutMs);
         }
     }
 
-    /** Ends at once, whatever is still open. */
+    /** Stops at once, without waiting for open requests. */
     void stop() {
         if (fleet != null) {
             fleet.close();
--- a/proxy/src/main/java/walkpost/proxy/Sockets.java
+++ b/proxy/src/main/java/walkpost/proxy/Sockets.java
@@ -5,60 +5,66 @@
 import java.util.Set;
 
 /**
- * Counts the open connections, so that the process stays under its limit of descriptors: one too many fails at a place
- * where nothing can be done about it. Idle connections are given up first, the longest idle of the backends' before
- * the clients'; where none is left, no further client is accepted for a while.
+ * Counts the open connections to clients and servers, so that the process stays under its limit of descriptors; beyond the limit, a call
+ * fails at a place that can't recover from it. Where there is no room, the connection to a server that has been idle for longest
+ * is closed, then the client's connection that has been idle for longest. If none is idle, the proxy stops accepting clients for a while.
+ * Used on the event loop only.
  */
 final class Sockets {
-    /** Descriptors for the jar, the selector, the listener, discovery and connections that are just closing. */
-    private static final int SPARE = 96;
-    /** Of half the descriptors a quarter: the process itself has 11 open, the operators take 16, discovery 2. */
-    private static final int SHARED_SPARE = 48;
-    /** So many clients that linger may hold places beyond the count, out of the spare ones. */
-    private static final int MOST_LINGERING = 16;
-
-    private final int most;
-    private final int mostClients;
-    private final Set<Channel> idleBackends = new LinkedHashSet<>();
+    /** The descriptors kept for the jar, the selector, the listener, discovery and connections that are being closed. */
+    private static final int RESERVED_DESCRIPTORS = 96;
+    /**
+     * The same for each of two processes that share a limit. A quarter of a process's half is free for them: the process itself has 11
+     * descriptors open, the operator endpoint takes up to 16, discovery 2.
+     */
+    private static final int RESERVED_DESCRIPTORS_SHARED = 48;
+    /** How many clients that have not closed their side yet may keep their descriptors beyond the count, out of the reserved ones. */
+    private static final int MAX_LINGERING_CLIENTS = 16;
+
+    private final int maxConnections;
+    private final int maxClients;
+    private final Set<Channel> idleServerConnections = new LinkedHashSet<>();
     private final Set<Closing> idleClients = new LinkedHashSet<>();
-    /** Those that were given up already and still hold their descriptors, the longest first. */
-    private final Set<Closing> lingering = new LinkedHashSet<>();
+    /** The clients whose connections are closed on this side and still hold their descriptors, the longest first. */
+    private final Set<Closing> lingeringClients = new LinkedHashSet<>();
     private int clients;
-    private int backends;
+    private int serverConnections;
     private Listener listener;
     private boolean accepting = true;
 
-    Sockets(int limit) {
-        this(limit, SPARE);
+    /** Creates the budget of a process that may open {@code descriptorLimit} descriptors. */
+    Sockets(int descriptorLimit) {
+        this(descriptorLimit, RESERVED_DESCRIPTORS);
     }
 
-    /** Returns the part of one of two processes that share a limit: neither knows when the other is there. */
-    static Sockets halfOf(int limit) {
-        return new Sockets(limit / 2, SHARED_SPARE);
+    /** Returns the budget of one of two processes that share a limit; it is half of it, because neither knows when the other runs. */
+    static Sockets halfOf(int descriptorLimit) {
+        return new Sockets(descriptorLimit / 2, RESERVED_DESCRIPTORS_SHARED);
     }
 
-    private Sockets(int limit, int spare) {
-        most = Math.max(16, limit - spare);
-        // A request needs a connection on either side: clients alone can't use up what their requests need.
-        mostClients = most * 5 / 8;
+    private Sockets(int descriptorLimit, int reservedDescriptors) {
+        maxConnections = Math.max(16, descriptorLimit - reservedDescriptors);
+        // A request needs a connection on either side, so clients alone must not use up the connections that their requests need.
+        maxClients = maxConnections * 5 / 8;
     }
 
-    /** Names the socket that is not to accept while there is no room. */
-    void listener(Listener where) {
-        listener = where;
+    /** Sets the listener that stops accepting clients while there is no room for them. */
+    void listener(Listener newListener) {
+        listener = newListener;
     }
 
+    /** Counts a client's connection until it is closed, and makes room or stops accepting if it took the last place. */
     void clientOpened(Closing client) {
         clients++;
-        client.channel().closeFuture().addListener(f -> {
+        client.channel().closeFuture().addListener(closed -> {
             clients--;
             idleClients.remove(client);
-            lingering.remove(client);
-            if (!clientsFull()) {
+            lingeringClients.remove(client);
+            if (!isFullForClients()) {
                 accept(true);
             }
         });
-        if (clientsFull() && !(clients < mostClients && giveUpBackend()) && !giveUpClient()) {
+        if (isFullForClients() && !(clients < maxClients && closeIdleServerConnection()) && !closeIdleClient()) {
             accept(false);
         }
     }
@@ -70,28 +76,30 @@
         }
     }
 
-    private boolean clientsFull() {
-        return clients >= mostClients || clients + backends >= most;
+    private boolean isFullForClients() {
+        return clients >= maxClients || clients + serverConnections >= maxConnections;
     }
 
-    /** Returns whether one more connection to a backend may be opened. */
+    /** Returns whether one more connection to a server may be opened. If there is no room, it closes an idle connection to make some. */
     boolean roomForBackend() {
-        return clients + backends < most || giveUpBackend() || giveUpClient();
+        return clients + serverConnections < maxConnections || closeIdleServerConnection() || closeIdleClient();
     }
 
+    /** Counts a connection to a server until it is closed. */
     void backendOpened(Channel channel) {
-        backends++;
-        channel.closeFuture().addListener(f -> {
-            backends--;
-            idleBackends.remove(channel);
+        serverConnections++;
+        channel.closeFuture().addListener(closed -> {
+            serverConnections--;
+            idleServerConnections.remove(channel);
         });
     }
 
+    /** Records whether a connection to a server is idle, so that it may be closed to make room. */
     void backendIdle(Channel channel, boolean idle) {
-        mark(idleBackends, channel, idle && channel.isOpen());
+        mark(idleServerConnections, channel, idle && channel.isOpen());
     }
 
-    /** Whoever waits to be accepted may have the place of a connection that has fallen idle. */
+    /** Records whether a client's connection is idle. An idle one may be closed for a client that waits to be accepted. */
     void clientIdle(Closing client, boolean idle) {
         mark(idleClients, client, idle && !client.begun() && client.channel().isOpen());
         if (idle) {
@@ -99,34 +107,37 @@
         }
     }
 
-    /** It is closed as far as this side is concerned, and open until its client has seen that. */
+    /** Records that this side has closed a client's connection, which stays open until the client closes its side. */
     void clientLingers(Closing client) {
-        lingering.add(client);
+        lingeringClients.add(client);
     }
 
-    private static <T> void mark(Set<T> set, T connection, boolean in) {
+    private static <T> void mark(Set<T> set, T connection, boolean member) {
         set.remove(connection);
-        if (in) {
+        if (member) {
             set.add(connection);
         }
     }
 
-    private boolean giveUpBackend() {
-        Channel longest = first(idleBackends);
-        if (longest != null) {
-            longest.close();
+    private boolean closeIdleServerConnection() {
+        Channel longestIdle = removeFirst(idleServerConnections);
+        if (longestIdle != null) {
+            longestIdle.close();
         }
-        return longest != null;
+        return longestIdle != null;
     }
 
-    /** Gives up an idle client, whose place is free a little later; where too many go on holding theirs, one of these. */
-    private boolean giveUpClient() {
-        boolean enough = lingering.size() >= MOST_LINGERING;
-        Closing longest = first(enough ? lingering : idleClients);
+    /**
+     * Begins to close the client's connection that has been idle for longest; its place is free a little later. If too many clients
+     * linger already, closes the connection of one of these at once instead.
+     */
+    private boolean closeIdleClient() {
+        boolean tooManyLinger = lingeringClients.size() >= MAX_LINGERING_CLIENTS;
+        Closing longest = removeFirst(tooManyLinger ? lingeringClients : idleClients);
         if (longest == null) {
             return false;
         }
-        if (enough) {
+        if (tooManyLinger) {
             longest.cut();
         } else {
             longest.begin();
@@ -134,7 +145,7 @@
         return true;
     }
 
-    private static <T> T first(Set<T> set) {
+    private static <T> T removeFirst(Set<T> set) {
         if (set.isEmpty()) {
             return null;
         }
--- a/proxy/src/main/java/walkpost/proxy/StartRetry.java
+++ b/proxy/src/main/java/walkpost/proxy/StartRetry.java
@@ -6,44 +6,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes a step of a start again that failed for a moment, such as for want of a descriptor or of memory. What is wrong in the
- * configuration fails at once.
+ * Retries a step of the start that failed because of a transient error, such as a lack of descriptors or memory. An error in the
+ * configuration is thrown at once. Used by one thread at a time.
  */
 final class StartRetry {
-    /** A process may take 30 s to be ready, and nine in ten 6 s. */
-    static final long LONGEST_MS = 3_000;
-    private static final long AGAIN_MS = 20;
-    /** Messages of EADDRNOTAVAIL, EACCES and ENOENT: an address or a file that is named wrongly. */
-    private static final List<String> CONFIGURATION = List.of("cannot assign requested address", "permission denied",
+    /** How long to retry. A process must be ready within 30 s, and nine in ten within 6 s. */
+    static final long TIMEOUT_MS = 3_000;
+    private static final long RETRY_DELAY_MS = 20;
+    /**
+     * Texts that EADDRNOTAVAIL, EACCES and ENOENT leave in an exception's class name or message: the configuration names a wrong
+     * address or file.
+     */
+    private static final List<String> CONFIGURATION_ERRORS = List.of("cannot assign requested address", "permission denied",
             "no such file", "accessdenied", "nosuchfile");
 
     private final Log log = new Log("serve");
-    private final long latestNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_MS);
+    private final long latestNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
 
     /**
-     * Takes a step until it succeeds.
+     * Calls an action until it succeeds, and returns its result.
      *
-     * @param step its name, for the log
-     * @throws Exception what it failed with, at last or for good
+     * @param step the name of the step in the log
+     * @throws Exception the last failure, if the configuration is wrong or the time for retries is over
      */
     <T> T untilDone(String step, Callable<T> action) throws Exception {
         while (true) {
             try {
                 return action.call();
             } catch (Exception e) {
-                if (isConfiguration(e) || System.nanoTime() >= latestNs) {
+                if (isConfigurationError(e) || System.nanoTime() >= latestNs) {
                     throw e;
                 }
-                log.warn("start_step_failed", "step", step, "reason", e, "again_in_ms", AGAIN_MS);
-                Thread.sleep(AGAIN_MS);
+                log.warn("start_step_failed", "step", step, "reason", e, "again_in_ms", RETRY_DELAY_MS);
+                Thread.sleep(RETRY_DELAY_MS);
             }
         }
     }
 
-    private static boolean isConfiguration(Throwable failure) {
+    private static boolean isConfigurationError(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             String text = cause.toString().toLowerCase(Locale.ROOT);
-            if (CONFIGURATION.stream().anyMatch(text::contains)) {
+            if (CONFIGURATION_ERRORS.stream().anyMatch(text::contains)) {
                 return true;
             }
         }
--- a/proxy/src/main/java/walkpost/proxy/Surroundings.java
+++ b/proxy/src/main/java/walkpost/proxy/Surroundings.java
@@ -8,50 +8,56 @@
 import java.util.Map;
 
 /**
- * What a proxy is told besides its configuration, or instead of it.
+ * The settings that a proxy gets from its environment variables and from inherited sockets. Where they overlap with the configuration
+ * file, the environment prevails. Immutable.
  *
- * @param operator where the operators call; null where they don't
- * @param temp the folder that the process may write to; what is left there outlives an upgrade
- * @param clients the socket at which clients come in, which other processes hold too; null where it is this one's own
- * @param fleet makes this proxy a member of the fleet; null where it is none, and then nothing of the fleet is loaded
+ * @param operatorAddress the address of the operator endpoint; null if there is none
+ * @param tempDir the directory that the process may write to; its files outlive an upgrade
+ * @param inheritedListener the listening socket for clients that other processes hold as well; null if the proxy opens its own
+ * @param fleet opens the membership in the fleet; null if the proxy is in no fleet, and then no class of the fleet is loaded
  */
-record Surroundings(InetSocketAddress operator, Path temp, ServerSocketChannel clients, FleetLink.Opener fleet) {
-    /** Names the fleet's file in the environment; the switch of all that the fleet is. */
+record Surroundings(InetSocketAddress operatorAddress, Path tempDir, ServerSocketChannel inheritedListener, FleetLink.Opener fleet) {
+    /** The environment variable with the path of the fleet's configuration file. If it is unset, the proxy is in no fleet. */
     static final String FLEET = "WALKPOST_FLEET";
 
+    /**
+     * Reads the settings from environment variables and, where these are unset, from the configuration.
+     *
+     * @throws Config.BadConfig if a variable has a value that can't be used
+     */
     static Surroundings of(Map<String, String> environment, Config config) throws Config.BadConfig {
-        String place = environment.getOrDefault("PROXY_OPERATOR", "");
-        InetSocketAddress operator = place.isEmpty() ? config.operator() : Config.address(place);
-        if (!place.isEmpty() && operator == null) {
-            throw new Config.BadConfig("PROXY_OPERATOR: '" + place + "' is no address and port");
+        String operator = environment.getOrDefault("PROXY_OPERATOR", "");
+        InetSocketAddress operatorAddress = operator.isEmpty() ? config.operator() : Config.address(operator);
+        if (!operator.isEmpty() && operatorAddress == null) {
+            throw new Config.BadConfig("PROXY_OPERATOR: '" + operator + "' is no address and port; expected HOST:PORT");
         }
-        String temp = environment.getOrDefault("TMPDIR", "");
-        return new Surroundings(operator, Path.of(temp.isEmpty() ? System.getProperty("java.io.tmpdir") : temp),
-                inherited(environment.getOrDefault("PROXY_LISTEN_FD", "")), fleet(environment, config));
+        String tempDir = environment.getOrDefault("TMPDIR", "");
+        return new Surroundings(operatorAddress, Path.of(tempDir.isEmpty() ? System.getProperty("java.io.tmpdir") : tempDir),
+                inheritedListener(environment.getOrDefault("PROXY_LISTEN_FD", "")), fleetOpener(environment, config));
     }
 
-    private static FleetLink.Opener fleet(Map<String, String> environment, Config config) {
+    private static FleetLink.Opener fleetOpener(Map<String, String> environment, Config config) {
         String file = environment.getOrDefault(FLEET, "");
         if (file.isEmpty()) {
             return null;
         }
-        var named = new HashMap<>(environment);
-        named.putIfAbsent("PROXY_NAME", config.name());
-        return FleetLink.opener(Path.of(file), named);
+        var withName = new HashMap<>(environment);
+        withName.putIfAbsent("PROXY_NAME", config.name());
+        return FleetLink.opener(Path.of(file), withName);
     }
 
-    private static ServerSocketChannel inherited(String descriptor) throws Config.BadConfig {
+    private static ServerSocketChannel inheritedListener(String descriptor) throws Config.BadConfig {
         if (descriptor.isEmpty()) {
             return null;
         }
         try {
-            // The JDK knows of no other descriptor that may be inherited.
+            // The JDK can take over no inherited descriptor other than 0.
             if (descriptor.equals("0") && System.inheritedChannel() instanceof ServerSocketChannel socket) {
                 return socket;
             }
         } catch (IOException e) {
-            throw new Config.BadConfig("PROXY_LISTEN_FD: " + e);
+            throw new Config.BadConfig("PROXY_LISTEN_FD: can't take over descriptor 0: " + e);
         }
-        throw new Config.BadConfig("PROXY_LISTEN_FD: descriptor '" + descriptor + "' is no listening socket at 0");
+        throw new Config.BadConfig("PROXY_LISTEN_FD: got '" + descriptor + "'; expected 0, with a listening socket as descriptor 0");
     }
 }
