--- a/proxy/src/main/java/walkpost/proxy/Clock.java
+++ b/proxy/src/main/java/walkpost/proxy/Clock.java
@@ -5,26 +5,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * The proxy's one clock: Unix time in microseconds, read from the system once and carried on by the monotonic timer.
- * It never goes back when the system's time is set, but begins as wrong as that was: {@link ServerStartTimes} says how old a server's start
- * is known to be all the same.
+ * The proxy's only clock: Unix time in microseconds. It reads the system clock once and is advanced by the monotonic timer, so it never
+ * goes back when the system clock is set, but keeps the error that the system clock had at the start. {@link ServerStartTimes} says how
+ * the start times of servers are known in spite of that. Thread-safe.
  */
 final class Clock {
-    private final long unixUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+    private final long startUnixUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private final LongSupplier timer;
-    private final long nanos;
+    private final long startTimerNs;
 
     Clock() {
         this(System::nanoTime);
     }
 
-    /** Makes one that is carried on by another timer, in nanoseconds, that never goes back. */
+    /** Creates a clock that is advanced by another timer, in nanoseconds, which must never go back. */
     Clock(LongSupplier timer) {
         this.timer = timer;
-        this.nanos = timer.getAsLong();
+        this.startTimerNs = timer.getAsLong();
     }
 
+    /** Returns the time in microseconds since 1970. */
     long now() {
-        return unixUs + (timer.getAsLong() - nanos) / 1_000;
+        return startUnixUs + (timer.getAsLong() - startTimerNs) / 1_000;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Log.java
+++ b/proxy/src/main/java/walkpost/proxy/Log.java
@@ -8,18 +8,18 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** What one part of the proxy tells the operators: an event, as one word, and its fields. */
+/** Logs the events of one component of the proxy. An event is one word, followed by fields. Thread-safe. */
 final class Log {
-    private final Logger out;
+    private final Logger logger;
 
-    /** Creates the log of a part that operators know by a word. */
+    /** Creates the log of a component, under the name by which operators know it. */
     Log(String component) {
-        out = LoggerFactory.getLogger(component);
+        logger = LoggerFactory.getLogger(component);
     }
 
     /**
-     * Has lines go on after the descriptor of standard error is taken away, as the JDK does when it closes a socket that
-     * it has inherited; where that can't be had, they end there.
+     * Opens standard error anew, so that logging goes on after its descriptor is closed, which the JDK does when it closes an inherited
+     * socket. If it can't be opened, the log ends when that socket is closed.
      */
     static void keepErrorStream() {
         try {
@@ -29,25 +29,29 @@
         }
     }
 
-    /** Tells what went as it should; fields are keys and values in turn. */
+    /**
+     * Logs an expected event.
+     *
+     * @param fields keys, which are strings, and values in turn
+     */
     void info(String event, Object... fields) {
-        tell(out.atInfo(), event, fields);
+        log(logger.atInfo(), event, fields);
     }
 
-    /** Tells what others did wrong, or what may not go on for long. */
+    /** Logs an error of another party, or a condition that must not last; {@code fields} as for {@link #info}. */
     void warn(String event, Object... fields) {
-        tell(out.atWarn(), event, fields);
+        log(logger.atWarn(), event, fields);
     }
 
-    /** Tells what went wrong in this program, with the place in it. */
+    /** Logs a fault of this program with its cause and the line that threw it; {@code fields} as for {@link #info}. */
     void failure(String event, Throwable cause, Object... fields) {
-        tell(out.atError().setCause(cause), event, fields);
+        log(logger.atError().setCause(cause), event, fields);
     }
 
-    private static void tell(LoggingEventBuilder line, String event, Object... fields) {
+    private static void log(LoggingEventBuilder builder, String event, Object... fields) {
         for (int i = 0; i < fields.length; i += 2) {
-            line = line.addKeyValue((String) fields[i], fields[i + 1]);
+            builder = builder.addKeyValue((String) fields[i], fields[i + 1]);
         }
-        line.log(event);
+        builder.log(event);
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/LoopWakeup.java
+++ b/proxy/src/main/java/walkpost/proxy/LoopWakeup.java
@@ -9,38 +9,39 @@
 import java.io.IOException;
 
 /**
- * How a loop learns of tasks from other threads. Waking it is a write to a descriptor of the system's and a read on the loop. Where the
- * write fails the JDK throws an {@link InternalError}, which would end the loop or the thread that has the task; where the read fails Netty
- * sleeps for a second. So a failed write is only counted, as the task is queued by then; and once a timer of the loop's own runs each few
- * milliseconds, tasks wait for that and the loop need not be woken at all.
+ * Creates the I/O handlers of event loops that survive failed wake-ups. Waking a loop for a task of another thread takes a write to a
+ * system descriptor and a read on the loop. If the write fails, the JDK throws an {@link InternalError}, which would end the loop or the
+ * thread that submits the task; if the read fails, Netty sleeps for a second. These handlers therefore only count a failed write,
+ * because the task is in the queue by then. Once a timer of the loop itself runs every few milliseconds, they stop waking the loop, and
+ * tasks wait for that timer. Any thread may wake a loop; everything else runs on the loop.
  */
 final class LoopWakeup implements IoHandlerFactory {
-    private final IoHandlerFactory factory;
+    private final IoHandlerFactory delegate;
     private final SystemCallFailures failures;
-    private volatile boolean timed;
+    private volatile boolean timerRuns;
 
-    /** Creates handlers as a factory makes them, whose loops are woken in this way. */
-    LoopWakeup(IoHandlerFactory factory, SystemCallFailures failures) {
-        this.factory = factory;
+    /** Creates a factory that wraps the handlers of another one. */
+    LoopWakeup(IoHandlerFactory delegate, SystemCallFailures failures) {
+        this.delegate = delegate;
         this.failures = failures;
     }
 
-    /** From now on the loop looks for tasks by a timer of its own. */
-    void byTimer() {
-        timed = true;
+    /** Stops waking the loop from now on, because a timer of its own makes it look for tasks. */
+    void relyOnTimer() {
+        timerRuns = true;
     }
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new Handler(factory.newHandler(executor));
+        return new Handler(delegate.newHandler(executor));
     }
 
     @Override
     public boolean isChangingThreadSupported() {
-        return factory.isChangingThreadSupported();
+        return delegate.isChangingThreadSupported();
     }
 
-    private void failed(InternalError error) {
+    private void wakeupFailed(InternalError error) {
         if (!(error.getCause() instanceof IOException cause)) {
             throw error;
         }
@@ -48,57 +49,57 @@
     }
 
     private final class Handler implements IoHandler {
-        private final IoHandler made;
+        private final IoHandler wrapped;
 
-        Handler(IoHandler made) {
-            this.made = made;
+        Handler(IoHandler wrapped) {
+            this.wrapped = wrapped;
         }
 
         @Override
         public void wakeup() {
-            if (timed) {
+            if (timerRuns) {
                 return;
             }
             try {
-                made.wakeup();
+                wrapped.wakeup();
             } catch (InternalError e) {
-                failed(e);
+                wakeupFailed(e);
             }
         }
 
         @Override
         public int run(IoHandlerContext context) {
             try {
-                return made.run(context);
+                return wrapped.run(context);
             } catch (InternalError e) {
-                failed(e);
+                wakeupFailed(e);
                 return 0;
             }
         }
 
         @Override
         public void initialize() {
-            made.initialize();
+            wrapped.initialize();
         }
 
         @Override
         public void prepareToDestroy() {
-            made.prepareToDestroy();
+            wrapped.prepareToDestroy();
         }
 
         @Override
         public void destroy() {
-            made.destroy();
+            wrapped.destroy();
         }
 
         @Override
         public IoRegistration register(IoHandle handle) throws Exception {
-            return made.register(handle);
+            return wrapped.register(handle);
         }
 
         @Override
         public boolean isCompatible(Class<? extends IoHandle> type) {
-            return made.isCompatible(type);
+            return wrapped.isCompatible(type);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/MomentaryFailure.java
+++ b/proxy/src/main/java/walkpost/proxy/MomentaryFailure.java
@@ -5,42 +5,43 @@
 import java.util.List;
 
 /**
- * Tells a failure of one direction of a connection that may pass from one that is final. Linux reports some errors of a socket once
- * (ENOBUFS, ENOMEM, EHOSTUNREACH, ETIMEDOUT), and the next call shows whether the connection lives; a reset or a broken pipe stays. Pure.
+ * Distinguishes transient from permanent failures of reads or writes on a connection; one instance covers one direction. Linux reports
+ * some errors of a socket only once (ENOBUFS, ENOMEM, EHOSTUNREACH, ETIMEDOUT), and the next call shows whether the connection still
+ * works. A reset or a broken pipe is permanent. Does no I/O and reads no clock; not thread-safe.
  */
 final class MomentaryFailure {
-    /** What has gone on for so long is no moment: a deadline passed on allows 150 ms between its reading and its writing. */
-    static final long LONGEST_NS = 100_000_000;
-    /** Messages of errors that no further call can undo: ECONNRESET, EPIPE, ENOTCONN. */
-    private static final List<String> FINAL = List.of("Connection reset", "Broken pipe", "not connected");
+    /** How long calls may go on failing: a request that is passed on with its deadline has 150 ms between its reading and its writing. */
+    static final long MAX_DURATION_NS = 100_000_000;
+    /** The messages of ECONNRESET, EPIPE and ENOTCONN, after which no further call can succeed. */
+    private static final List<String> PERMANENT_ERRORS = List.of("Connection reset", "Broken pipe", "not connected");
 
-    private IOException cause;
-    private long sinceNs;
+    private IOException lastFailure;
+    private long firstFailureNs;
 
-    /** Returns whether a call that has failed is worth making again. */
-    boolean mayPass(IOException failure, long nowNs) {
-        if (isFinal(failure)) {
+    /** Returns whether a call that has failed is to be made again. */
+    boolean shouldRetry(IOException failure, long nowNs) {
+        if (isPermanent(failure)) {
             return false;
         }
-        if (cause == null) {
-            sinceNs = nowNs;
+        if (lastFailure == null) {
+            firstFailureNs = nowNs;
         }
-        cause = failure;
-        return nowNs - sinceNs < LONGEST_NS;
+        lastFailure = failure;
+        return nowNs - firstFailureNs < MAX_DURATION_NS;
     }
 
-    /** A call has succeeded. */
-    void passed() {
-        cause = null;
+    /** Records that a call has succeeded. */
+    void succeeded() {
+        lastFailure = null;
     }
 
-    /** Returns the failure after which no call has succeeded yet, or null. */
+    /** Returns the last failure since the last call that succeeded, or null. */
     IOException pending() {
-        return cause;
+        return lastFailure;
     }
 
-    private static boolean isFinal(IOException failure) {
+    private static boolean isPermanent(IOException failure) {
         String message = failure.getMessage();
-        return failure instanceof ClosedChannelException || message != null && FINAL.stream().anyMatch(message::contains);
+        return failure instanceof ClosedChannelException || message != null && PERMANENT_ERRORS.stream().anyMatch(message::contains);
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/RetryingServerSocketChannel.java
+++ b/proxy/src/main/java/walkpost/proxy/RetryingServerSocketChannel.java
@@ -8,31 +8,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listener that goes on after an accept that failed, such as for want of a descriptor: those who wait are accepted a moment later.
- * Netty's own would take nobody in for a second. Used on its loop alone.
+ * A listening socket that continues after a failed accept, such as for lack of a descriptor: it accepts the waiting clients a few
+ * milliseconds later. Netty's own channel would accept no client for a second. Used on its event loop only.
  */
 class RetryingServerSocketChannel extends NioServerSocketChannel {
-    /** Not at once: a listener whose queue can't be emptied is ready all the time. */
-    static final long ACCEPT_AGAIN_MS = 10;
+    /** The delay keeps the loop from spinning, because a listener whose queue can't be emptied is ready all the time. */
+    static final long ACCEPT_RETRY_DELAY_MS = 10;
 
     private final SystemCallFailures failures;
-    private Runnable acceptFailed = () -> { };
-    private boolean wanted = true;
-    private boolean paused;
+    private Runnable acceptFailureTask = () -> { };
+    private boolean acceptWanted = true;
+    private boolean pausedAfterFailure;
 
     RetryingServerSocketChannel(SystemCallFailures failures) {
         this.failures = failures;
     }
 
-    /** Has a task run after each accept that failed. */
+    /** Sets the task that runs after each failed accept. */
     void onAcceptFailure(Runnable task) {
-        acceptFailed = task;
+        acceptFailureTask = task;
     }
 
-    /** Takes no more clients in for now, or goes on. */
+    /** Stops accepting clients for now, or resumes. */
     void accepting(boolean on) {
-        wanted = on;
-        config().setAutoRead(wanted && !paused);
+        acceptWanted = on;
+        config().setAutoRead(acceptWanted && !pausedAfterFailure);
     }
 
     @Override
@@ -48,12 +48,12 @@
             return -1;
         } catch (IOException e) {
             failures.failed("accept", e);
-            pause();
+            pauseAfterFailure();
             return 0;
         }
     }
 
-    /** Returns the next client's connection, or null if nobody waits. */
+    /** Returns the next client's connection, or null if none waits. */
     SocketChannel accept() throws IOException {
         return javaChannel().accept();
     }
@@ -63,20 +63,20 @@
             return new RetryingSocketChannel(this, accepted, failures);
         } catch (RuntimeException e) {
             accepted.close();
-            throw new IOException("a connection could not be set up", e);
+            throw new IOException("can't set up the channel of an accepted connection", e);
         }
     }
 
-    private void pause() {
-        acceptFailed.run();
-        if (paused || !isActive()) {
+    private void pauseAfterFailure() {
+        acceptFailureTask.run();
+        if (pausedAfterFailure || !isActive()) {
             return;
         }
-        paused = true;
-        accepting(wanted);
+        pausedAfterFailure = true;
+        accepting(acceptWanted);
         eventLoop().schedule(() -> {
-            paused = false;
-            accepting(wanted);
-        }, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+            pausedAfterFailure = false;
+            accepting(acceptWanted);
+        }, ACCEPT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/RetryingSocketChannel.java
+++ b/proxy/src/main/java/walkpost/proxy/RetryingSocketChannel.java
@@ -9,24 +9,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection that outlives a read or a write which failed for a moment: the call is made again. An end that follows such a failure is
- * no orderly end, as an answer of unknown length would be taken for whole. Used on its loop alone.
+ * A connection that survives transient failures of reads and writes by repeating the call. If the stream ends right after a failed
+ * read, the connection ends with that failure and not in an orderly way, because a truncated answer of unknown length would be taken for
+ * a complete one. Used on its event loop only.
  */
 final class RetryingSocketChannel extends NioSocketChannel {
-    /** What the JDK's channels return at the end of a stream; what lies below it stands for an interrupted call. */
+    /** What a read of a JDK channel returns at the end of the stream. Smaller values stand for an interrupted call. */
     private static final int END_OF_STREAM = -1;
-    private static final long WRITE_AGAIN_MS = 1;
+    private static final long WRITE_RETRY_DELAY_MS = 1;
 
     private final SystemCallFailures failures;
-    private final MomentaryFailure reading = new MomentaryFailure();
-    private final MomentaryFailure writing = new MomentaryFailure();
+    private final MomentaryFailure readFailure = new MomentaryFailure();
+    private final MomentaryFailure writeFailure = new MomentaryFailure();
 
-    /** Creates one that is yet to be connected. */
+    /** Creates a channel that is not connected yet. */
     RetryingSocketChannel(SystemCallFailures failures) {
         this.failures = failures;
     }
 
-    /** Creates one for a connection that was accepted. */
+    /** Creates the channel of an accepted connection. */
     RetryingSocketChannel(Channel parent, SocketChannel accepted, SystemCallFailures failures) {
         super(parent, accepted);
         this.failures = failures;
@@ -39,18 +40,18 @@
             count = super.doReadBytes(into);
         } catch (IOException e) {
             failures.failed("read", e);
-            if (!reading.mayPass(e, System.nanoTime())) {
+            if (!readFailure.shouldRetry(e, System.nanoTime())) {
                 throw e;
             }
             return 0;
         }
-        if (count == END_OF_STREAM && reading.pending() != null) {
-            throw reading.pending();
+        if (count == END_OF_STREAM && readFailure.pending() != null) {
+            throw readFailure.pending();
         }
         if (count < END_OF_STREAM) {
             return 0;
         }
-        reading.passed();
+        readFailure.succeeded();
         return count;
     }
 
@@ -58,13 +59,13 @@
     protected void doWrite(ChannelOutboundBuffer waiting) throws Exception {
         try {
             super.doWrite(waiting);
-            writing.passed();
+            writeFailure.succeeded();
         } catch (IOException e) {
             failures.failed("write", e);
-            if (!writing.mayPass(e, System.nanoTime())) {
+            if (!writeFailure.shouldRetry(e, System.nanoTime())) {
                 throw e;
             }
-            eventLoop().schedule(unsafe()::flush, WRITE_AGAIN_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(unsafe()::flush, WRITE_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Serve.java
+++ b/proxy/src/main/java/walkpost/proxy/Serve.java
@@ -201,7 +201,7 @@
         }
         // From now on the loop's periodic timer finds the tasks of other threads soon enough. Only the thread that accepts clients on an
         // inherited socket submits tasks that can't wait for that timer, and this proxy has none.
-        ioHandlers.byTimer();
+        ioHandlers.relyOnTimer();
         log.info("listening", "proxy", config.name(), "port", address.getPort());
         return address;
     }
--- a/proxy/src/main/java/walkpost/proxy/Signals.java
+++ b/proxy/src/main/java/walkpost/proxy/Signals.java
@@ -27,7 +27,7 @@
             signal.getMethod("handle", signal, handler).invoke(null, signal.getConstructor(String.class).newInstance(name),
                     java.lang.reflect.Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler}, runTask));
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("can't install a handler for SIG" + name + "; expected a JDK with the module jdk.unsupported", e);
+            throw new IllegalStateException("can't install a handler for SIG" + name, e);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Sockets.java
+++ b/proxy/src/main/java/walkpost/proxy/Sockets.java
@@ -14,8 +14,8 @@
     /** The descriptors kept for the jar, the selector, the listener, discovery and connections that are being closed. */
     private static final int RESERVED_DESCRIPTORS = 96;
     /**
-     * The same for each of two processes that share a limit. A quarter of a process's half is free for them: the process itself has 11
-     * descriptors open, the operator endpoint takes up to 16, discovery 2.
+     * The same for each of two processes that share a limit. This is a quarter of each process's half of the descriptors: the process
+     * itself has 11 of them open, the operator endpoint takes up to 16, and discovery 2.
      */
     private static final int RESERVED_DESCRIPTORS_SHARED = 48;
     /** How many clients that have not closed their side yet may keep their descriptors beyond the count, out of the reserved ones. */
--- a/proxy/src/main/java/walkpost/proxy/SystemCallFailures.java
+++ b/proxy/src/main/java/walkpost/proxy/SystemCallFailures.java
@@ -8,14 +8,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts failed system calls by call and error, and logs each kind at its first failure and then once in a while at the most: a burst of
- * them must not flood the log. Any thread may use it.
+ * Counts failed system calls by call and error. It logs the first failure of each kind and then each kind at most once per interval, so
+ * that a burst of failures does not flood the log. Thread-safe.
  */
 final class SystemCallFailures {
-    /** How often at most a kind of failure is logged. */
-    static final long LOG_EVERY_NS = TimeUnit.SECONDS.toNanos(1);
-    /** Messages may name addresses; so many kinds are told apart, and the rest are counted as one. */
-    private static final int MOST_KINDS = 64;
+    /** How often a kind of failure is logged at most. */
+    static final long LOG_INTERVAL_NS = TimeUnit.SECONDS.toNanos(1);
+    /** How many kinds are counted separately; the rest are counted as one. The bound is needed because messages may contain addresses. */
+    private static final int MAX_KINDS = 64;
 
     private record Kind(String call, String error) {
         @Override
@@ -26,50 +26,57 @@
 
     private static final class Count {
         private long failures;
-        private long loggedNs;
-        private long logged;
+        private long reportedNs;
+        /** The value of {@link #failures} at the last report; 0 before the first. */
+        private long reportedFailures;
     }
 
-    /** Hears of a kind of failure now and then. */
-    interface Report {
-        /** It has come about {@code total} times in all, and {@code sinceLast} times since the report before. */
-        void failed(String call, String error, long total, long sinceLast);
+    /** Reports a kind of failure. */
+    interface Reporter {
+        /**
+         * Reports failures of one kind.
+         *
+         * @param total how many there were since the start of the process
+         * @param sinceLast how many there were since the last report
+         */
+        void report(String call, String error, long total, long sinceLast);
     }
 
     private static final Log LOG = new Log("system_calls");
 
     private final LongSupplier nanoTime;
-    private final Report report;
+    private final Reporter reporter;
     private final Map<Kind, Count> counts = new HashMap<>();
 
+    /** Creates a counter that reports to the log. */
     SystemCallFailures() {
         this(System::nanoTime, (call, error, total, sinceLast) ->
                 LOG.warn("system_call_failed", "call", call, "error", error, "total", total, "since_last_line", sinceLast));
     }
 
-    /** Creates one with a clock of its own, in nanoseconds, and another report than the log. */
-    SystemCallFailures(LongSupplier nanoTime, Report report) {
+    /** Creates a counter with another clock, in nanoseconds, and another reporter. */
+    SystemCallFailures(LongSupplier nanoTime, Reporter reporter) {
         this.nanoTime = nanoTime;
-        this.report = report;
+        this.reporter = reporter;
     }
 
-    /** Takes note of a call that has failed. */
+    /** Counts a failed call, and reports it if its kind has not been reported within the interval. */
     synchronized void failed(String call, IOException cause) {
         var kind = new Kind(call, String.valueOf(cause.getMessage()));
-        if (!counts.containsKey(kind) && counts.size() >= MOST_KINDS) {
+        if (!counts.containsKey(kind) && counts.size() >= MAX_KINDS) {
             kind = new Kind(call, "other");
         }
         Count count = counts.computeIfAbsent(kind, k -> new Count());
         count.failures++;
-        long now = nanoTime.getAsLong();
-        if (count.logged == 0 || now - count.loggedNs >= LOG_EVERY_NS) {
-            report.failed(kind.call(), kind.error(), count.failures, count.failures - count.logged);
-            count.logged = count.failures;
-            count.loggedNs = now;
+        long nowNs = nanoTime.getAsLong();
+        if (count.reportedFailures == 0 || nowNs - count.reportedNs >= LOG_INTERVAL_NS) {
+            reporter.report(kind.call(), kind.error(), count.failures, count.failures - count.reportedFailures);
+            count.reportedFailures = count.failures;
+            count.reportedNs = nowNs;
         }
     }
 
-    /** Returns how many calls have failed so far, by "call: error". */
+    /** Returns the number of failed calls by "call: error". */
     synchronized Map<String, Long> totals() {
         var totals = new TreeMap<String, Long>();
         counts.forEach((kind, count) -> totals.merge(kind.toString(), count.failures, Long::sum));
