--- a/lab/src/main/c/syscall_faults.c
+++ b/lab/src/main/c/syscall_faults.c
@@ -1,22 +1,23 @@
 /*
- * Lets system calls of one process fail, as Linux documents their errors. It is preloaded (LD_PRELOAD) into a process
- * under test and reads its plan from the environment:
+ * Injects failures into the system calls of one process, with the errors that Linux documents for each call. The library
+ * is preloaded (LD_PRELOAD) into the process under test and reads its plan from environment variables:
  *
- *   SYSCALL_FAULTS       rules and settings, separated by ';'
- *     CALL=ERROR|ERROR@SHARE   the call fails with one of the errors, drawn by the seed, in that share (0 to 1) of its uses
- *     clock=MILLISECONDS       the wall clock is ahead by so much (behind, if negative) within the windows
+ *   SYSCALL_FAULTS       rules and settings, separated by ';'. Defaults are in parentheses.
+ *     CALL=ERROR|ERROR@SHARE   makes the call fail with one of the errors, drawn from the seed, in this share (0 to 1) of
+ *                              its uses (1)
+ *     clock=MILLISECONDS       sets the wall clock ahead by this time (back, if negative) within the windows
  *     seed=N                   the seed of all draws (1)
- *     from=MS                  the first window opens so long after the start of the process (0)
- *     for=MS                   each window stays open so long (500)
- *     every=MS                 a window opens each so often; 0: only once (3000)
- *     most=N                   so many faults at the most in the life of the process (no bound)
- *     armed=FILE               no faults while this file is not there
- *     path=TEXT                opens and renames fail only where their path holds this
+ *     from=MS                  the time from the start of the process until the first window opens (0)
+ *     for=MS                   the length of a window (500)
+ *     every=MS                 the time from the start of one window to the start of the next; 0 opens only one (3000)
+ *     most=N                   the highest number of faults in the life of the process (no limit)
+ *     armed=FILE               injects no faults while this file does not exist
+ *     path=TEXT                makes opens and renames fail only if their path contains this text
  *   SYSCALL_FAULTS_LOG   a file to which each injected fault is appended: milliseconds, call, error, descriptor
  *
  * Calls: socket, bind, listen, accept, connect, epoll_wait; read, write (on sockets, with all their variants); wakeup_read,
- * wakeup_write (of an eventfd); open_read, open_write, file_write, fsync, rename (of files). SHORT lets a read or a
- * write take one byte only.
+ * wakeup_write (on an eventfd); open_read, open_write, file_write, fsync, rename (on files). The error SHORT makes a read or
+ * a write transfer one byte only.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -258,7 +259,7 @@
     (void) !real_write(log_fd, line, (size_t) length);
 }
 
-/* Returns the error that this use of a call is to end with, SHORT_COUNT, or 0 where it goes on as ever. */
+/* Returns the error to inject into this use of a call, SHORT_COUNT for a transfer of one byte, or 0 for no fault. */
 static int fault(enum call call, int fd) {
     struct rule *rule = &rules[call];
     if (!atomic_load(&ready) || rule->error_count == 0 || !in_window() || !is_armed()) {
@@ -293,7 +294,7 @@
     return strstr(target, "eventfd") != NULL;
 }
 
-/* Returns which kind of read or write this is, or CALLS where it is none that may fail. */
+/* Returns the kind of read or write that a transfer on this descriptor is, or CALLS if no rule applies to it. */
 static enum call transfer(int fd, enum call on_socket, enum call on_file) {
     enum call on_wakeup = on_socket == CALL_READ ? CALL_WAKEUP_READ : CALL_WAKEUP_WRITE;
     int saved = errno;
@@ -366,7 +367,7 @@
     TRANSFER(fd, CALL_READ, CALLS, real_recv(fd, into, count, flags), real_recv(fd, into, count > 0, flags));
 }
 
-/* Returns what a call gives that takes one byte of the first part that has any. */
+/* Transfers one byte of the first part that is not empty, and returns what the call returned. */
 static ssize_t one_byte_of(int fd, const struct iovec *parts, int count, int writing) {
     for (int i = 0; i < count; i++) {
         if (parts[i].iov_len > 0) {
@@ -396,7 +397,7 @@
     TRANSFER(fd, CALL_WRITE, CALL_FILE_WRITE, real_pwrite(fd, from, count, at), real_pwrite(fd, from, count > 0, at));
 }
 
-/* Returns the error that opening a file is to end with, or 0. */
+/* Returns the error to inject into opening a file, or 0 for no fault. */
 static int open_fault(const char *path, int flags) {
     if (path_part != NULL && strstr(path, path_part) == NULL) {
         return 0;
--- a/proxy/src/main/java/walkpost/log/ComponentLogger.java
+++ b/proxy/src/main/java/walkpost/log/ComponentLogger.java
@@ -10,37 +10,37 @@
 import org.slf4j.helpers.MessageFormatter;
 import org.slf4j.spi.LoggingEventAware;
 
-/** What one component, or one class of a library, says. DEBUG and TRACE are never told. */
+/** The logger of one component, or of one class of a library. DEBUG and TRACE are disabled. Thread-safe. */
 final class ComponentLogger extends LegacyAbstractLogger implements LoggingEventAware {
     private static final long serialVersionUID = 1L;
 
-    private final transient ErrorStream lines;
+    private final transient ErrorStreamWriter writer;
 
-    ComponentLogger(String name, ErrorStream lines) {
+    ComponentLogger(String name, ErrorStreamWriter writer) {
         this.name = name;
-        this.lines = lines;
+        this.writer = writer;
     }
 
     @Override
     public void log(LoggingEvent event) {
-        tell(event.getLevel(), event.getMessage(), event.getArgumentArray(), event.getKeyValuePairs(), event.getThrowable());
+        write(event.getLevel(), event.getMessage(), event.getArgumentArray(), event.getKeyValuePairs(), event.getThrowable());
     }
 
     @Override
     protected void handleNormalizedLoggingCall(Level level, Marker marker, String message, Object[] arguments, Throwable cause) {
-        tell(level, message, arguments, null, cause);
+        write(level, message, arguments, null, cause);
     }
 
-    private void tell(Level level, String message, Object[] arguments, List<KeyValuePair> pairs, Throwable cause) {
-        if (!lines.admit()) {
+    private void write(Level level, String message, Object[] arguments, List<KeyValuePair> pairs, Throwable cause) {
+        if (!writer.tryAcquire()) {
             return;
         }
-        String what = MessageFormatter.basicArrayFormat(message, arguments);
+        String text = MessageFormatter.basicArrayFormat(message, arguments);
         var fields = new ArrayList<KeyValuePair>();
-        // Libraries log under the names of their classes, and sentences.
+        // Libraries log whole sentences, under the names of their classes; these become the field "text" of the event "library".
         boolean library = name.indexOf('.') >= 0;
         if (library) {
-            fields.add(new KeyValuePair("text", what));
+            fields.add(new KeyValuePair("text", text));
         }
         if (pairs != null) {
             fields.addAll(pairs);
@@ -51,7 +51,7 @@
                 fields.add(new KeyValuePair("at", cause.getStackTrace()[0]));
             }
         }
-        lines.write(level, name, library ? "library" : what, fields);
+        writer.write(level, name, library ? "library" : text, fields);
     }
 
     @Override
--- a/proxy/src/main/java/walkpost/log/Provider.java
+++ b/proxy/src/main/java/walkpost/log/Provider.java
@@ -10,32 +10,32 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * The back end of SLF4J: events of level INFO and above as lines on standard error. It is our own because a start is paid for
- * by the clients who wait for it, and the libraries' back ends took more of it than they may (docs/findings/log.md). The
- * environment's {@code WALKPOST_LOG} asks for {@code json}.
+ * The SLF4J back end, which writes events of level INFO and above as lines on standard error. It replaces the common back ends, because
+ * clients wait while a proxy starts, and those took more of the start time than they may (docs/findings/log.md). The environment variable
+ * {@code WALKPOST_LOG} selects the format: {@code text}, the default, or {@code json}. Thread-safe after {@link #initialize}.
  */
 public final class Provider implements SLF4JServiceProvider {
-    /** Any 2.0: what SLF4J asks of a back end has not changed since. */
-    private static final String API = "2.0.99";
-    private static final String VARIABLE = "WALKPOST_LOG";
+    /** Any version 2.0, because the interface between SLF4J and its back ends has not changed since. */
+    private static final String API_VERSION = "2.0.99";
+    private static final String FORMAT_VARIABLE = "WALKPOST_LOG";
 
-    private final IMarkerFactory markers = new BasicMarkerFactory();
-    private final MDCAdapter contexts = new NOPMDCAdapter();
+    private final IMarkerFactory markerFactory = new BasicMarkerFactory();
+    private final MDCAdapter mdcAdapter = new NOPMDCAdapter();
     private final Map<String, ComponentLogger> loggers = new ConcurrentHashMap<>();
-    private ErrorStream lines;
+    private ErrorStreamWriter writer;
 
     @Override
     public void initialize() {
-        String asked = System.getenv().getOrDefault(VARIABLE, "text");
-        lines = new ErrorStream(asked.equals("json") ? Format.JSON : Format.TEXT);
-        if (!asked.equals("json") && !asked.equals("text")) {
-            logger("log").atWarn().addKeyValue("variable", VARIABLE).addKeyValue("found", asked)
+        String format = System.getenv().getOrDefault(FORMAT_VARIABLE, "text");
+        writer = new ErrorStreamWriter(format.equals("json") ? LineFormat.JSON : LineFormat.TEXT);
+        if (!format.equals("json") && !format.equals("text")) {
+            logger("log").atWarn().addKeyValue("variable", FORMAT_VARIABLE).addKeyValue("found", format)
                     .addKeyValue("expected", "text or json").log("format_unknown");
         }
     }
 
     private ComponentLogger logger(String name) {
-        return loggers.computeIfAbsent(name, n -> new ComponentLogger(n, lines));
+        return loggers.computeIfAbsent(name, loggerName -> new ComponentLogger(loggerName, writer));
     }
 
     @Override
@@ -45,16 +45,16 @@
 
     @Override
     public IMarkerFactory getMarkerFactory() {
-        return markers;
+        return markerFactory;
     }
 
     @Override
     public MDCAdapter getMDCAdapter() {
-        return contexts;
+        return mdcAdapter;
     }
 
     @Override
     public String getRequestedApiVersion() {
-        return API;
+        return API_VERSION;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/MomentaryFailure.java
+++ b/proxy/src/main/java/walkpost/proxy/MomentaryFailure.java
@@ -10,7 +10,10 @@
  * works. A reset or a broken pipe is permanent. Does no I/O and reads no clock; not thread-safe.
  */
 final class MomentaryFailure {
-    /** How long calls may go on failing: a request that is passed on with its deadline has 150 ms between its reading and its writing. */
+    /**
+     * How long calls may go on failing before the failure counts as permanent. The deadline that the proxy passes on allows 150 ms between
+     * reading and writing a request.
+     */
     static final long MAX_DURATION_NS = 100_000_000;
     /** The messages of ECONNRESET, EPIPE and ENOTCONN, after which no further call can succeed. */
     private static final List<String> PERMANENT_ERRORS = List.of("Connection reset", "Broken pipe", "not connected");
--- a/proxy/src/main/java/walkpost/proxy/Warmup.java
+++ b/proxy/src/main/java/walkpost/proxy/Warmup.java
@@ -37,82 +37,85 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Has the code of a request run often enough to be compiled, before the proxy says that it is ready. A cold virtual
- * machine on a part of a core takes in so little that its queue of clients fills with such as have given up, and it
- * works for those. So a second proxy, which shares nothing with the real one, serves made-up requests from made-up
- * backends for a moment. All of them talk over sockets in the file system: no other party is ever reached, and the
- * code of sockets runs as well, which over channels inside the process it would not.
+ * Runs the request path often enough for it to be compiled, before the proxy reports that it is ready. A cold virtual machine on a
+ * fraction of a core serves so few requests that its queue fills with clients that have already given up, and it works for those. So a
+ * second proxy, which shares nothing with the real one, serves synthetic requests from synthetic servers for a moment. They all
+ * communicate over Unix domain sockets, so that no other party is ever reached and the socket code runs too, which it would not over
+ * channels inside the process. Everything runs on an event loop of its own; the caller of {@link #run} blocks.
  */
 final class Warmup {
-    /** The first few take the most, as they load and link; a method is compiled once it has run 200 times. */
-    static final int LEAST_REQUESTS = 40;
-    static final int MOST_REQUESTS = 250;
-    /** So many times what cold code takes in calls for the most. */
-    private static final double MOST_LOAD = 3;
-    /** Ready late is better than ready cold, but not by much. */
-    static final long MOST_MS = 6_000;
-    /** Where the first answer takes longer than this, nobody is led to sockets in the file system. */
-    static final long FIRST_MS = 1_500;
-    /** What a request takes of a core while the code is cold: 128 a second, some with long bodies, took half a core for 5 s. */
-    private static final double COLD_US = 4_000;
+    /** The fewest requests of a warm-up. The first few take the longest, because they load and link classes. */
+    static final int MIN_REQUESTS = 40;
+    /** The most requests of a warm-up. A method is compiled once it has run 200 times. */
+    static final int MAX_REQUESTS = 250;
+    /** The load, as a multiple of what cold code can serve, from which on the warm-up is the longest. */
+    private static final double MAX_LOAD = 3;
+    /** The longest warm-up: to be ready late is better than to be ready cold, but not by much. */
+    static final long TIMEOUT_MS = 6_000;
+    /** How long to wait for the first answer. A later one means that the host does not connect Unix domain sockets. */
+    static final long FIRST_ANSWER_TIMEOUT_MS = 1_500;
+    /**
+     * What a request takes of a core while the code is cold: 128 requests a second, some with long bodies, took half a core for 5 s.
+     */
+    private static final double COLD_REQUEST_US = 4_000;
     static final int CLIENTS = 6;
-    private static final int BACKENDS = 3;
-    private static final int DESCRIPTORS = 256;
-    /** So many requests go over a connection, and one of so many is answered with an error. */
-    private static final int REQUESTS_EACH = 3;
-    private static final int ERROR_EACH = 16;
-    private static final int BODY = 1_024;
+    private static final int SERVERS = 3;
+    private static final int DESCRIPTOR_LIMIT = 256;
+    private static final int REQUESTS_PER_CONNECTION = 3;
+    /** One of this many requests is answered with an error. */
+    private static final int REQUESTS_PER_ERROR = 16;
+    private static final int BODY_BYTES = 1_024;
     private static final Log LOG = new Log("warmup");
 
     private final Balancer.Settings settings;
     private final int requests;
-    private final SocketAddress front;
+    private final SocketAddress proxyAddress;
     private final EventLoop loop;
     private final Promise<Void> done;
-    private int sent;
-    private int answered;
-    private int asked;
+    private int sentRequests;
+    private int answeredRequests;
+    private int servedRequests;
 
-    private Warmup(Balancer.Settings settings, int requests, SocketAddress front, EventLoop loop) {
+    private Warmup(Balancer.Settings settings, int requests, SocketAddress proxyAddress, EventLoop loop) {
         this.settings = settings;
         this.requests = requests;
-        this.front = front;
+        this.proxyAddress = proxyAddress;
         this.loop = loop;
         this.done = loop.newPromise();
     }
 
     /**
-     * Returns how many made-up requests a proxy should serve before its clients': the more, the further the traffic is
-     * beyond what it takes in while its code is cold. One of many, whose part of the traffic is thin, needs none: to it
-     * the warm-up is only time in which it is missing, with all the others that start together with it.
+     * Returns how many synthetic requests a proxy should serve before it accepts clients. The number grows with the ratio of the expected
+     * traffic to what cold code can serve. A proxy with a small part of the traffic needs none: the warm-up would only keep it away for
+     * longer, together with all the proxies that start at the same time.
      */
-    static int requests(Balancer.Settings settings, double cores) {
-        double perS = settings.tenants().stream().mapToDouble(Balancer.Tenant::quotaPerS).sum() / settings.balancers();
-        double load = settings.tenants().isEmpty() ? MOST_LOAD : perS * COLD_US / (cores * TimeUnit.SECONDS.toMicros(1));
-        double part = Math.min(1, (load - 1) / (MOST_LOAD - 1));
-        return load <= 1 ? 0 : (int) (LEAST_REQUESTS + part * (MOST_REQUESTS - LEAST_REQUESTS));
+    static int requestCount(Balancer.Settings settings, double cores) {
+        double requestsPerS = settings.tenants().stream().mapToDouble(Balancer.Tenant::quotaPerS).sum() / settings.balancers();
+        double load = settings.tenants().isEmpty() ? MAX_LOAD : requestsPerS * COLD_REQUEST_US / (cores * TimeUnit.SECONDS.toMicros(1));
+        double fraction = Math.min(1, (load - 1) / (MAX_LOAD - 1));
+        return load <= 1 ? 0 : (int) (MIN_REQUESTS + fraction * (MAX_REQUESTS - MIN_REQUESTS));
     }
 
     /**
-     * Returns how many made-up requests were answered; what goes wrong costs the warm-up alone, not the proxy.
+     * Runs a warm-up and returns how many synthetic requests were answered. A failure ends the warm-up and leaves the proxy unaffected.
      *
-     * @param temp a folder that may be written
-     * @param requests it ends once so many were answered
-     * @param clients so many ask
-     * @param firstMs it ends after this time if none was answered
-     * @param mostMs it ends after this time, however few they are
+     * @param tempDir a writable directory
+     * @param requests the number of answered requests after which the warm-up ends
+     * @param clients the number of clients that send requests at the same time
+     * @param firstAnswerTimeoutMs the time after which the warm-up ends if no request was answered
+     * @param timeoutMs the time after which the warm-up ends in any case
      */
-    static int run(Balancer.Settings settings, int requests, Path temp, int clients, long firstMs, long mostMs) {
+    static int run(Balancer.Settings settings, int requests, Path tempDir, int clients, long firstAnswerTimeoutMs, long timeoutMs) {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Path dir = null;
+        Path socketDir = null;
         try {
-            dir = Files.createTempDirectory(temp, "warmup");
-            var warmup = new Warmup(settings, requests, UnixDomainSocketAddress.of(dir.resolve("front")), group.next());
-            warmup.start(dir, clients);
-            if (!warmup.done.await(firstMs) && warmup.soFar() > 0) {
-                warmup.done.await(mostMs - firstMs);
+            socketDir = Files.createTempDirectory(tempDir, "warmup");
+            var warmup = new Warmup(settings, requests, UnixDomainSocketAddress.of(socketDir.resolve("front")), group.next());
+            warmup.start(socketDir, clients);
+            if (!warmup.done.await(firstAnswerTimeoutMs) && warmup.answeredSoFar() > 0) {
+                warmup.done.await(timeoutMs - firstAnswerTimeoutMs);
             }
-            return warmup.soFar();
+            return warmup.answeredSoFar();
         } catch (IOException | ExecutionException | RuntimeException e) {
             LOG.warn("not_warmed_up", "reason", e);
             return 0;
@@ -121,64 +124,64 @@
             return 0;
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-            remove(dir);
+            remove(socketDir);
         }
     }
 
-    private int soFar() throws InterruptedException, ExecutionException {
-        return loop.submit(() -> answered).get();
+    private int answeredSoFar() throws InterruptedException, ExecutionException {
+        return loop.submit(() -> answeredRequests).get();
     }
 
-    private static void remove(Path dir) {
-        if (dir == null) {
+    private static void remove(Path socketDir) {
+        if (socketDir == null) {
             return;
         }
-        try (var files = Files.newDirectoryStream(dir)) {
+        try (var files = Files.newDirectoryStream(socketDir)) {
             for (Path file : files) {
                 Files.delete(file);
             }
-            Files.delete(dir);
+            Files.delete(socketDir);
         } catch (IOException e) {
             LOG.warn("left_behind", "reason", e);
         }
     }
 
-    private void start(Path dir, int clients) {
+    private void start(Path socketDir, int clients) {
         var listed = new ArrayList<Backends.Listed>();
-        for (int i = 0; i < BACKENDS; i++) {
-            SocketAddress address = UnixDomainSocketAddress.of(dir.resolve("backend" + i));
+        for (int i = 0; i < SERVERS; i++) {
+            SocketAddress address = UnixDomainSocketAddress.of(socketDir.resolve("backend" + i));
             new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(new HttpServerCodec(),
-                                    new HttpObjectAggregator(Backends.MAX_BODY), new MadeUpBackend());
+                                    new HttpObjectAggregator(Backends.MAX_BODY), new SyntheticServer());
                         }
                     }).bind(address).syncUninterruptibly();
             listed.add(new Backends.Listed(new Balancer.Backend("warmup" + i, Balancer.State.READY, "warmup",
                     settings.zone(), 0, 0, 1), address));
         }
         var clock = new Clock();
-        var sockets = new Sockets(DESCRIPTORS);
+        var connections = new Sockets(DESCRIPTOR_LIMIT);
         var buffers = new Buffers(Long.MAX_VALUE);
-        var unlisted = unlisted();
-        var backends = new Backends(clock, loop, NioDomainSocketChannel::new, sockets, buffers,
-                TimeUnit.MILLISECONDS.toMicros(MOST_MS), TimeUnit.MILLISECONDS.toMicros(MOST_MS));
-        var proxy = new Proxy(clock, loop, new Policy(unlisted), backends);
-        var frontend = new Frontend(proxy, sockets, buffers, unlisted, () -> backends.ready() > 0);
+        var settingsWithoutDiscovery = settingsWithoutDiscovery();
+        var backends = new Backends(clock, loop, NioDomainSocketChannel::new, connections, buffers,
+                TimeUnit.MILLISECONDS.toMicros(TIMEOUT_MS), TimeUnit.MILLISECONDS.toMicros(TIMEOUT_MS));
+        var proxy = new Proxy(clock, loop, new Policy(settingsWithoutDiscovery), backends);
+        var frontend = new Frontend(proxy, connections, buffers, settingsWithoutDiscovery, () -> backends.ready() > 0);
         loop.submit(() -> proxy.members(Balancer.ListKind.FULL, listed)).syncUninterruptibly();
-        frontend.listen(loop, NioServerDomainSocketChannel::new, front).syncUninterruptibly();
+        frontend.listen(loop, NioServerDomainSocketChannel::new, proxyAddress).syncUninterruptibly();
         for (int i = 0; i < clients; i++) {
             connect();
         }
     }
 
-    /** The same settings, for a module that is not to ask any discovery. */
-    private Balancer.Settings unlisted() {
-        Balancer.Limits l = settings.limits();
+    /** Returns the proxy's settings for a single balancer that never asks discovery for the server list. */
+    private Balancer.Settings settingsWithoutDiscovery() {
+        Balancer.Limits limits = settings.limits();
         return new Balancer.Settings(1, 0, settings.zone(), settings.tickUs(), settings.classes(), settings.tenants(),
-                settings.overShareWorth(), settings.warmKeys(), new Balancer.Limits(l.cancel(), l.secondCopies(),
-                l.probes(), false, l.maxAttempts(), l.maxRetryAfterUs()), settings.rules(), settings.seed());
+                settings.overShareWorth(), settings.warmKeys(), new Balancer.Limits(limits.cancel(), limits.secondCopies(),
+                limits.probes(), false, limits.maxAttempts(), limits.maxRetryAfterUs()), settings.rules(), settings.seed());
     }
 
     private void connect() {
@@ -186,53 +189,53 @@
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Backends.MAX_BODY),
-                        new MadeUpClient());
+                        new SyntheticClient());
             }
-        }).connect(front);
+        }).connect(proxyAddress);
     }
 
-    private FullHttpRequest next() {
-        int number = sent++;
+    private FullHttpRequest nextRequest() {
+        int number = sentRequests++;
         List<Balancer.RequestClass> classes = settings.classes();
-        Balancer.RequestClass type = classes.get(number % classes.size());
-        boolean safe = type.effect() == Balancer.Effect.SAFE;
+        Balancer.RequestClass requestClass = classes.get(number % classes.size());
+        boolean safe = requestClass.effect() == Balancer.Effect.SAFE;
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST,
-                "/api?k=" + number, safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[BODY]));
+                "/api?k=" + number, safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
         request.headers().set("host", "warmup").set(Headers.REQUEST_ID, "warmup" + number)
-                .set(Headers.REQUEST_CLASS, type.name()).set(Headers.TIMEOUT, type.deadlineUs() + "u");
+                .set(Headers.REQUEST_CLASS, requestClass.name()).set(Headers.TIMEOUT, requestClass.deadlineUs() + "u");
         if (!settings.tenants().isEmpty()) {
             request.headers().set(Headers.TENANT, settings.tenants().get(number % settings.tenants().size()).name());
         }
         if (!safe) {
             request.headers().set(Headers.IDEMPOTENCY_KEY, "warmup" + number);
-            HttpUtil.setContentLength(request, BODY);
+            HttpUtil.setContentLength(request, BODY_BYTES);
         }
         return request;
     }
 
-    /** One end of a made-up connection: where it breaks, it is closed. */
-    private abstract static class End<T> extends SimpleChannelInboundHandler<T> {
+    /** Handles one end of a synthetic connection. Closes it on any error. */
+    private abstract static class SyntheticPeer<T> extends SimpleChannelInboundHandler<T> {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
     }
 
-    private final class MadeUpClient extends End<FullHttpResponse> {
-        private int left = REQUESTS_EACH;
+    private final class SyntheticClient extends SyntheticPeer<FullHttpResponse> {
+        private int requestsLeft = REQUESTS_PER_CONNECTION;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ctx.writeAndFlush(next());
+            ctx.writeAndFlush(nextRequest());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (++answered == requests) {
+            if (++answeredRequests == requests) {
                 done.setSuccess(null);
             }
-            if (--left > 0 && !done.isDone()) {
-                ctx.writeAndFlush(next());
+            if (--requestsLeft > 0 && !done.isDone()) {
+                ctx.writeAndFlush(nextRequest());
             } else {
                 ctx.close();
             }
@@ -246,14 +249,14 @@
         }
     }
 
-    private final class MadeUpBackend extends End<FullHttpRequest> {
+    private final class SyntheticServer extends SyntheticPeer<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            HttpResponseStatus status = ++asked % ERROR_EACH > 0 ? HttpResponseStatus.OK
+            HttpResponseStatus status = ++servedRequests % REQUESTS_PER_ERROR > 0 ? HttpResponseStatus.OK
                     : HttpResponseStatus.INTERNAL_SERVER_ERROR;
-            var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(new byte[BODY]));
-            HttpUtil.setContentLength(answer, BODY);
-            ctx.writeAndFlush(answer);
+            var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
+            HttpUtil.setContentLength(response, BODY_BYTES);
+            ctx.writeAndFlush(response);
         }
     }
 }
