--- a/proxy/src/test/java/walkpost/log/LogTest.java
+++ b/proxy/src/test/java/walkpost/log/LogTest.java
@@ -12,34 +12,34 @@
 import org.slf4j.ILoggerFactory;
 import org.slf4j.event.KeyValuePair;
 
-/** What the operators read: one line an event, whatever its fields hold, and not too many of them. */
+/** Tests that each event becomes one line, whatever its fields contain, and that the number of lines is limited. */
 final class LogTest {
-    private static final long AT = 1_796_165_999_007L;
+    private static final long AT_MS = 1_796_165_999_007L;
 
-    private static Line line(Object... fields) {
+    private static LogEvent event(Object... fields) {
         var pairs = new java.util.ArrayList<KeyValuePair>();
         for (int i = 0; i < fields.length; i += 2) {
             pairs.add(new KeyValuePair((String) fields[i], fields[i + 1]));
         }
-        return new Line(AT, "WARN", "discovery", "call_failed", pairs);
+        return new LogEvent(AT_MS, "WARN", "discovery", "call_failed", pairs);
     }
 
     @Test
     void textHasTimeLevelComponentEventAndFields() {
-        assertThat(Format.TEXT.of(line("tries", 3, "reason", "no connection", "empty", "")))
+        assertThat(LineFormat.TEXT.format(event("tries", 3, "reason", "no connection", "empty", "")))
                 .isEqualTo("2026-12-01T22:59:59.007Z WARN discovery call_failed tries=3 reason=\"no connection\" empty=\"\"");
     }
 
     @Test
-    void aFieldCanNeitherBreakALineNorForgeAnother() {
-        assertThat(Format.TEXT.of(line("entry", "a\"b\\c\nd\re\u0007 f=1")))
+    void aFieldCanNeitherBreakTheLineNorForgeAnotherField() {
+        assertThat(LineFormat.TEXT.format(event("entry", "a\"b\\c\nd\re\u0007 f=1")))
                 .endsWith(" entry=\"a\\\"b\\\\c\\nd\\re? f=1\"").doesNotContain("\n").doesNotContain("\r");
-        assertThat(Format.JSON.of(line("entry", "a\nb"))).doesNotContain("\n");
+        assertThat(LineFormat.JSON.format(event("entry", "a\nb"))).doesNotContain("\n");
     }
 
     @Test
-    void jsonHasTheSameAndKeepsNumbers() throws Exception {
-        JsonNode json = new ObjectMapper().readTree(Format.JSON.of(line("tries", 3, "left", true, "reason", "x \"y\"")));
+    void jsonHasTheSamePartsAndKeepsNumbersAndBooleans() throws Exception {
+        JsonNode json = new ObjectMapper().readTree(LineFormat.JSON.format(event("tries", 3, "left", true, "reason", "x \"y\"")));
         assertThat(json.get("time").asText()).isEqualTo("2026-12-01T22:59:59.007Z");
         assertThat(json.get("level").asText()).isEqualTo("WARN");
         assertThat(json.get("component").asText()).isEqualTo("discovery");
@@ -50,17 +50,18 @@
     }
 
     @Test
-    void onlySoManyLinesASecondPassAndTheRestIsCounted() {
-        var limit = new LineLimit(2);
-        assertThat(List.of(limit.admit(7), limit.admit(7), limit.admit(7), limit.admit(7))).containsExactly(true, true, false, false);
-        assertThat(limit.takeUntold()).isZero();
-        assertThat(limit.admit(8)).isTrue();
-        assertThat(limit.takeUntold()).isEqualTo(2);
-        assertThat(limit.takeUntold()).isZero();
+    void admitsLimitedLinesPerSecondAndCountsTheRest() {
+        var limiter = new LineRateLimiter(2);
+        assertThat(List.of(limiter.tryAcquire(7), limiter.tryAcquire(7), limiter.tryAcquire(7), limiter.tryAcquire(7)))
+                .containsExactly(true, true, false, false);
+        assertThat(limiter.takeDroppedLines()).isZero();
+        assertThat(limiter.tryAcquire(8)).isTrue();
+        assertThat(limiter.takeDroppedLines()).isEqualTo(2);
+        assertThat(limiter.takeDroppedLines()).isZero();
     }
 
     @Test
-    void libraryLinesAndFailuresAreEventsToo() {
+    void libraryMessagesAndExceptionsBecomeEvents() {
         var written = new ByteArrayOutputStream();
         PrintStream before = System.err;
         System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
@@ -69,13 +70,13 @@
             provider.initialize();
             ILoggerFactory loggers = provider.getLoggerFactory();
             loggers.getLogger("io.netty.Some").info("{} words", "two");
-            loggers.getLogger("io.netty.Some").debug("not told");
+            loggers.getLogger("io.netty.Some").debug("not logged");
             loggers.getLogger("serve").atError().setCause(new IllegalStateException("why")).addKeyValue("request", 7).log("made_up");
         } finally {
             System.setErr(before);
         }
         List<String> lines = written.toString(StandardCharsets.UTF_8).lines()
-                // Whoever else lives in this process may have something to say.
+                // Other code in this process may log as well.
                 .filter(line -> line.contains("io.netty.Some") || line.contains("made_up")).toList();
         assertThat(lines).hasSize(2);
         assertThat(lines.get(0)).endsWith(" INFO io.netty.Some library text=\"two words\"");
--- a/proxy/src/test/java/walkpost/proxy/AcceptFailureTest.java
+++ b/proxy/src/test/java/walkpost/proxy/AcceptFailureTest.java
@@ -24,10 +24,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A listener whose accept fails for a moment. */
+/** Tests that listeners recover from an accept that fails for a moment, such as for lack of a descriptor. */
 class AcceptFailureTest {
-    /** Netty's own listener takes nobody in for a second after a failure. */
-    private static final long LATE_MS = 900;
+    /** Less than the second for which Netty's own listener accepts no client after a failure. */
+    private static final long SHORT_OF_NETTYS_PAUSE_MS = 900;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
@@ -38,8 +38,8 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private final class Listener extends RetryingServerSocketChannel {
-        Listener() {
+    private final class FailingListener extends RetryingServerSocketChannel {
+        FailingListener() {
             super(new SystemCallFailures());
         }
 
@@ -47,7 +47,7 @@
         SocketChannel accept() throws IOException {
             if (failures.getAndDecrement() > 0) {
                 if (failures.get() == 0) {
-                    loop.schedule(() -> events.add("late"), LATE_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(() -> events.add("late"), SHORT_OF_NETTYS_PAUSE_MS, TimeUnit.MILLISECONDS);
                 }
                 throw new IOException("Too many open files");
             }
@@ -55,8 +55,8 @@
         }
     }
 
-    private final class Clients extends ClientsSocket {
-        Clients() {
+    private final class FailingClientsSocket extends ClientsSocket {
+        FailingClientsSocket() {
             super(new SystemCallFailures());
         }
 
@@ -79,9 +79,9 @@
     }
 
     @Test
-    void aClientIsAcceptedSoonAfterAnAcceptThatFailed() throws Exception {
+    void acceptsAClientSoonAfterAFailedAccept() throws Exception {
         failures.set(3);
-        var address = (InetSocketAddress) listen(Listener::new).localAddress();
+        var address = (InetSocketAddress) listen(FailingListener::new).localAddress();
         try (var client = new Socket(address.getAddress(), address.getPort())) {
             assertThat(events.poll(10, TimeUnit.SECONDS)).isEqualTo("accepted");
             assertThat(client.isConnected()).isTrue();
@@ -89,25 +89,25 @@
     }
 
     @Test
-    void aListenerEmptiesItsQueueAndClosesThoughAcceptFails() throws Exception {
+    void acceptsTheQueuedClientsAndClosesDespiteFailedAccepts() throws Exception {
         failures.set(3);
-        Channel listener = listen(Clients::new);
+        Channel listener = listen(FailingClientsSocket::new);
         listener.config().setAutoRead(false);
         var address = (InetSocketAddress) listener.localAddress();
         try (var waiting = new Socket(address.getAddress(), address.getPort())) {
             listener.close().sync();
             assertThat(events.poll(10, TimeUnit.SECONDS)).isEqualTo("accepted");
             assertThat(waiting.isConnected()).isTrue();
-            // A socket is the system's again only once its loop has selected anew, which it does before what is scheduled.
+            // The JDK closes a socket for good only when its selector selects again, which the loop does before it runs a scheduled task.
             loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).sync();
             assertThatThrownBy(() -> new Socket(address.getAddress(), address.getPort()).close()).isInstanceOf(ConnectException.class);
         }
     }
 
     @Test
-    void aListenerThatIsToTakeNobodyInStaysSoAfterAFailure() throws Exception {
+    void staysPausedAfterAFailureIfAcceptingWasStopped() throws Exception {
         failures.set(1);
-        var listener = (RetryingServerSocketChannel) listen(Listener::new);
+        var listener = (RetryingServerSocketChannel) listen(FailingListener::new);
         listener.onAcceptFailure(() -> listener.accepting(false));
         InetSocketAddress address = listener.localAddress();
         try (var client = new Socket(address.getAddress(), address.getPort())) {
--- a/proxy/src/test/java/walkpost/proxy/Fixture.java
+++ b/proxy/src/test/java/walkpost/proxy/Fixture.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** A proxy on loopback, with a module that does as the test says and keeps what it was told. */
+/** A proxy on loopback, with a balancer that the test scripts. It records the events that the balancer gets. */
 final class Fixture implements Closeable {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"92094eb940cf389a",
@@ -38,129 +38,139 @@
               "projects":[{"name":"acme","allowance_per_s":100}]}}
             """;
 
-
     final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     final Peer discovery = new Peer();
-    private final AtomicLong skippedNs = new AtomicLong();
+    private final AtomicLong clockAdvanceNs = new AtomicLong();
     private final Serve serve;
     final InetSocketAddress address;
-    private final InetSocketAddress operator;
+    private final InetSocketAddress operatorAddress;
 
-    /** Does as the module would: gets the events, and says what is to be done. */
+    /** Stands in for the balancer: gets the events and orders actions. */
     interface Module {
         void handle(Event event, Consumer<Action> actions);
     }
 
-    Fixture(Module module, Peer... backends) throws Exception {
-        this(module, 1_024, 15_000_000, backends);
+    Fixture(Module balancer, Peer... servers) throws Exception {
+        this(balancer, 1_024, 15_000_000, servers);
     }
 
-    Fixture(Module module, int sockets, long idleUs, Peer... backends) throws Exception {
-        this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, backends);
+    Fixture(Module balancer, int socketLimit, long idleUs, Peer... servers) throws Exception {
+        this(settings -> (now, event, actions) -> balancer.handle(event, actions), socketLimit, idleUs, servers);
     }
 
-    /** A proxy with the module that it has in service. */
-    static Fixture inService(Peer... backends) throws Exception {
-        return new Fixture(Policy::new, 1_024, 15_000_000, backends);
+    /** Starts a proxy with the balancer that it has in production. */
+    static Fixture inService(Peer... servers) throws Exception {
+        return new Fixture(Policy::new, 1_024, 15_000_000, servers);
     }
 
-    private Fixture(Function<Balancer.Settings, Balancer> factory, int sockets, long idleUs, Peer... backends)
+    private Fixture(Function<Balancer.Settings, Balancer> factory, int socketLimit, long idleUs, Peer... servers)
             throws Exception {
-        this(factory, sockets, idleUs, new Surroundings(null, Path.of("/nonexistent"), null, null), backends);
+        this(factory, socketLimit, idleUs, new Surroundings(null, Path.of("/nonexistent"), null, null), servers);
     }
 
-    /** One that the operators call, and that may write to a folder; it has the module that the test says, or its own. */
-    static Fixture operated(Module module, Path temp, Peer... backends) throws Exception {
-        return sharing(null, module, temp, backends);
+    /**
+     * Starts a proxy with an operator endpoint.
+     *
+     * @param balancer the balancer of the test; null for the one in production
+     * @param tempDir the directory that the proxy may write to
+     */
+    static Fixture operated(Module balancer, Path tempDir, Peer... servers) throws Exception {
+        return sharing(null, balancer, tempDir, servers);
     }
 
-    /** The same, with clients that come over a socket which is not its own. */
-    static Fixture sharing(ServerSocketChannel clients, Module module, Path temp, Peer... backends) throws Exception {
-        return inFleet(null, clients, module, temp, backends);
+    /** Starts a proxy as {@link #operated} does, with a listening socket for clients that is not its own, unless that is null. */
+    static Fixture sharing(ServerSocketChannel listener, Module balancer, Path tempDir, Peer... servers) throws Exception {
+        return inFleet(null, listener, balancer, tempDir, servers);
     }
 
-    /** The same, as a member of a fleet. */
-    static Fixture inFleet(FleetLink.Opener fleet, ServerSocketChannel clients, Module module, Path temp, Peer... backends)
+    /** Starts a proxy as {@link #sharing} does, as a member of a fleet unless {@code fleet} is null. */
+    static Fixture inFleet(FleetLink.Opener fleet, ServerSocketChannel listener, Module balancer, Path tempDir, Peer... servers)
             throws Exception {
-        return new Fixture(module == null ? Policy::new : settings -> (now, event, actions) -> module.handle(event, actions),
-                1_024, 15_000_000, new Surroundings(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), temp, clients, fleet),
-                backends);
+        return new Fixture(balancer == null ? Policy::new : settings -> (now, event, actions) -> balancer.handle(event, actions),
+                1_024, 15_000_000, new Surroundings(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), tempDir, listener, fleet),
+                servers);
     }
 
-    private Fixture(Function<Balancer.Settings, Balancer> factory, int sockets, long idleUs, Surroundings surroundings,
-            Peer... backends) throws Exception {
-        var servers = new StringBuilder();
-        for (int i = 0; i < backends.length; i++) {
-            servers.append(i == 0 ? "" : ",").append(entry("s" + i, backends[i].address(), "ready"));
+    private Fixture(Function<Balancer.Settings, Balancer> factory, int socketLimit, long idleUs, Surroundings environment,
+            Peer... servers) throws Exception {
+        var entries = new StringBuilder();
+        for (int i = 0; i < servers.length; i++) {
+            entries.append(i == 0 ? "" : ",").append(entry("s" + i, servers[i].address(), "ready"));
         }
-        String json = CONFIG.formatted(discovery.address(), sockets, servers, idleUs);
+        String json = CONFIG.formatted(discovery.address(), socketLimit, entries, idleUs);
         Config config = Config.parse(Config.JSON.readTree(json));
-        Balancer module = factory.apply(config.settings());
-        serve = new Serve(config, surroundings, new Clock(() -> System.nanoTime() + skippedNs.get()), (now, event, actions) -> {
+        Balancer balancer = factory.apply(config.settings());
+        serve = new Serve(config, environment, new Clock(() -> System.nanoTime() + clockAdvanceNs.get()), (now, event, actions) -> {
             events.add(event);
-            module.handle(now, event, actions);
+            balancer.handle(now, event, actions);
         });
-        operator = serve.begin();
+        operatorAddress = serve.start();
         address = serve.listen();
     }
 
+    /** Returns a valid configuration, whose discovery can't be reached and which knows no servers. */
     static ObjectNode config() throws IOException {
         return (ObjectNode) Config.JSON.readTree(CONFIG.formatted("127.0.0.1:1", 1_024, "", 15_000_000));
     }
 
+    /** Returns one server's entry of a server list, in JSON. */
     static String entry(String id, String address, String state) {
         return "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":1,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":7}"
                 .formatted(id, address, state);
     }
 
+    /** Returns a server list of discovery, in JSON. */
     static String list(long version, boolean full, String... entries) {
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
-    /** A module that sends every request to a backend, and fails it when that goes wrong. */
-    static Module sendTo(String backend) {
-        return sendTo(backend, 0);
+    /** Returns a balancer that sends every request to one server, and fails the request if its attempt ends without an answer. */
+    static Module sendTo(String serverId) {
+        return sendTo(serverId, 0);
     }
 
-    static Module sendTo(String backend, long timeoutUs) {
+    /** Returns the same with a timeout for each attempt; 0 for none. */
+    static Module sendTo(String serverId, long timeoutUs) {
         return (event, actions) -> {
-            if (event instanceof Balancer.Arrival a) {
-                actions.accept(new Balancer.Send(a.id(), backend, timeoutUs));
-            } else if (event instanceof Balancer.AttemptEnded e && !e.last()) {
-                actions.accept(new Balancer.Fail(e.id()));
+            if (event instanceof Balancer.Arrival arrival) {
+                actions.accept(new Balancer.Send(arrival.id(), serverId, timeoutUs));
+            } else if (event instanceof Balancer.AttemptEnded end && !end.last()) {
+                actions.accept(new Balancer.Fail(end.id()));
             }
         };
     }
 
-    /** A client's request, as the protocol has it. */
+    /** Returns a client's request of the class "read". */
     static String get(String id) {
         return "GET /api?k=u1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\n\r\n";
     }
 
+    /** Returns a client's request of the class "pay", with a body. */
     static String post(String id, String body) {
         return "POST /api?k=u%201&x HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: pay\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\nIdempotency-Key: 5c0f"
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Connects as a client. */
     Wire client() throws IOException {
         return Wire.to(address);
     }
 
-    /** Connects as the operators do. */
+    /** Connects to the operator endpoint. */
     Wire door() throws IOException {
-        return Wire.to(operator);
+        return Wire.to(operatorAddress);
     }
 
-    /** Makes a call of the operators; returns all that comes back. */
+    /** Sends one command to the operator endpoint and returns the whole answer. */
     String call(String line) throws IOException {
-        try (Wire door = door()) {
-            return door.send(line).rest();
+        try (Wire connection = door()) {
+            return connection.send(line).rest();
         }
     }
 
-    /** Waits for the next event of a type. */
+    /** Waits for the next event of a type, skips events of other types, and returns it. */
     <T extends Event> T next(Class<T> type) throws InterruptedException {
         while (true) {
             Event event = Peer.next(events);
@@ -170,9 +180,9 @@
         }
     }
 
-    /** On the proxy's clock so much time has passed at once: called on its loop, that was held up. */
+    /** Advances the proxy's clock. If called on the proxy's event loop, the loop seems to have been delayed for that time. */
     void skip(Duration time) {
-        skippedNs.addAndGet(time.toNanos());
+        clockAdvanceNs.addAndGet(time.toNanos());
     }
 
     void reconfigure(Path file) {
--- a/proxy/src/test/java/walkpost/proxy/Platform.java
+++ b/proxy/src/test/java/walkpost/proxy/Platform.java
@@ -11,11 +11,12 @@
 import java.util.Map;
 
 /**
- * Holds a listening socket and starts programs that inherit it as descriptor 0, as the platform does. A JVM can't pass
- * a socket on, so a few lines of Perl, which is part of every Debian, hold it: they start a program for each line read.
+ * Holds a listening socket and starts proxies that inherit it as descriptor 0, as the platform does (socket activation). A JVM can't
+ * pass a socket on, so a few lines of Perl, which is part of every Debian system, hold the socket and start a proxy for each line
+ * that they read.
  */
 final class Platform implements Closeable {
-    private static final String HOLDER = """
+    private static final String SOCKET_HOLDER = """
             use Socket;
             $| = 1;
             socket(my $s, PF_INET, SOCK_STREAM, 0) or die; bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;
@@ -39,10 +40,10 @@
         this(dir, config, Map.of());
     }
 
-    /** The same with more in the programs' environment. */
+    /** Opens the socket. {@code environment} is added to the environment of every proxy. */
     Platform(Path dir, ObjectNode config, Map<String, String> environment) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config.toString());
-        var command = new ProcessBuilder("perl", "-e", HOLDER);
+        var command = new ProcessBuilder("perl", "-e", SOCKET_HOLDER);
         command.command().addAll(Program.SERVE);
         command.redirectErrorStream(true).environment().putAll(Map.of("PROXY_CONFIG", file.toString(),
                 "TMPDIR", dir.toString(), "PROXY_LISTEN_FD", "0"));
@@ -53,24 +54,27 @@
                 Integer.parseInt(output.line("^port ").substring("port ".length())));
     }
 
+    /** Starts one more proxy. */
     void start() throws IOException {
-        say("start");
+        send("start");
     }
 
-    /** Signals the program that was started first of those still there. */
+    /** Sends SIGTERM to the proxy that was started first of those that have not got it yet. */
     void endFirst() throws IOException {
-        say("end");
+        send("end");
     }
 
-    private void say(String word) throws IOException {
+    private void send(String word) throws IOException {
         process.getOutputStream().write((word + "\n").getBytes(StandardCharsets.US_ASCII));
         process.getOutputStream().flush();
     }
 
+    /** Waits for a log line of any proxy in which a pattern is found. */
     String line(String pattern) {
         return output.line(pattern);
     }
 
+    /** Connects to the socket as a client. */
     Wire client() throws IOException {
         return Wire.to(address);
     }
--- a/proxy/src/test/java/walkpost/proxy/Program.java
+++ b/proxy/src/test/java/walkpost/proxy/Program.java
@@ -12,73 +12,76 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 
-/** The program as {@code run} starts it, in a process of its own. */
+/** A proxy in a process of its own, as the command {@code run} starts it. */
 final class Program implements Closeable {
-    /** The command that {@code run} stands for here. */
+    /** The command line that starts a proxy with the classes under test. */
     static final List<String> SERVE = List.of(ProcessHandle.current().info().command().orElseThrow(), "-cp",
             System.getProperty("java.class.path"), "walkpost.proxy.Serve");
 
-    private final Path file;
+    private final Path configFile;
     private final Process process;
     private final Output log;
 
-    /** What a process writes, read as it is waited for. */
+    /** The output of a process, which is read only as a test waits for lines. */
     record Output(BufferedReader lines) {
         Output(Process process) {
             this(process.inputReader());
         }
 
-        /** Waits for a line that a pattern is found in; returns it, or null if the process has ended without it. */
+        /** Waits for a line in which a pattern is found and returns it; returns null if the process has ended without such a line. */
         String line(String pattern) {
             return lines.lines().filter(Pattern.compile(pattern).asPredicate()).findFirst().orElse(null);
         }
     }
 
-    /** Starts it with a folder of its own, which holds its configuration and whatever it leaves there. */
+    /** Starts a proxy with a directory of its own, which holds its configuration and the files that it writes. */
     Program(Path dir, ObjectNode config) throws IOException {
         this(dir, config, Map.of());
     }
 
-    /** The same with more in its environment, and with options for the virtual machine. */
-    Program(Path dir, ObjectNode config, Map<String, String> environment, String... options) throws IOException {
-        file = dir.resolve("config.json");
+    /** Starts a proxy with additional environment variables and with options for the JVM. */
+    Program(Path dir, ObjectNode config, Map<String, String> environment, String... jvmOptions) throws IOException {
+        configFile = dir.resolve("config.json");
         configure(config);
         var words = new ArrayList<>(SERVE);
-        words.addAll(1, List.of(options));
+        words.addAll(1, List.of(jvmOptions));
         var command = new ProcessBuilder(words).redirectErrorStream(true);
         command.environment().putAll(environment);
-        command.environment().put("PROXY_CONFIG", file.toString());
+        command.environment().put("PROXY_CONFIG", configFile.toString());
         command.environment().put("TMPDIR", dir.toString());
         process = command.start();
         log = new Output(process);
     }
 
+    /** Writes the configuration file. */
     void configure(ObjectNode config) throws IOException {
-        Files.writeString(file, config.toString());
+        Files.writeString(configFile, config.toString());
     }
 
-    /** Waits for a line of its log. */
+    /** Waits for a line of the log in which a pattern is found. */
     String line(String pattern) {
         return log.line(pattern);
     }
 
+    /** Sends a signal, by its name without SIG. */
     void signal(String name) throws Exception {
         new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
     }
 
-    /** Waits for all lines of its log up to one that a pattern is found in. */
+    /** Waits for a line of the log in which a pattern is found, and returns the lines up to it. */
     List<String> linesUpTo(String pattern) {
         var lines = new ArrayList<String>();
-        var last = Pattern.compile(pattern).asPredicate();
-        log.lines().lines().peek(lines::add).anyMatch(last);
+        var isLast = Pattern.compile(pattern).asPredicate();
+        log.lines().lines().peek(lines::add).anyMatch(isLast);
         return lines;
     }
 
-    /** Waits for its end; returns its exit status. */
+    /** Waits for the end of the process and returns its exit status. */
     int status() throws InterruptedException {
         return process.waitFor();
     }
 
+    /** Returns whether the process has ended. */
     boolean ended() throws InterruptedException {
         return process.waitFor(0, TimeUnit.SECONDS);
     }
--- a/proxy/src/test/java/walkpost/proxy/ProxyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyTest.java
@@ -18,11 +18,11 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** What the proxy does round the module, whatever the module does. */
+/** Tests how balancer and sockets are connected, also for a balancer that misbehaves. */
 class ProxyTest {
-    /** Rule 1: a request that the module forgets is answered all the same, before its client gives up. */
+    /** Rule 1: guards against a balancer that never answers a request. The proxy then fails the request before its client gives up. */
     @Test
-    void answersInTimeWhateverTheModuleDoes() throws Exception {
+    void answersInTimeIfTheBalancerNeverAnswers() throws Exception {
         try (var proxy = new Fixture((event, actions) -> { }); var client = proxy.client()) {
             long sent = System.nanoTime();
             Wire.Message answer = client.send(Fixture.get("r1").replace("1900m", "300000u")).read();
@@ -33,36 +33,36 @@
     }
 
     @Test
-    void anErrorInTheModuleCostsOneRequest() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+    void anExceptionInTheBalancerFailsOnlyItsRequest() throws Exception {
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("bad")) {
-                throw new IllegalStateException("as the test wants it");
+                throw new IllegalStateException("thrown by the test");
             }
             Fixture.sendTo("s0").handle(event, actions);
-        }, backend); var client = proxy.client()) {
-            backend.always(Peer.ok("x"));
+        }, server); var client = proxy.client()) {
+            server.always(Peer.ok("x"));
             assertThat(client.send(Fixture.get("bad")).read().status()).isEqualTo(502);
             assertThat(client.send(Fixture.get("good")).read().status()).isEqualTo(200);
         }
     }
 
     @Test
-    void aFurtherAttemptIsToldNoMoreThanWhatItsClientHasLeft() throws Exception {
-        var held = new CompletableFuture<Fixture>();
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+    void sendsTheRemainingTimeAsTheTimeoutOfAFurtherAttempt() throws Exception {
+        var started = new CompletableFuture<Fixture>();
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded a && a.attempt() == 0) {
-                held.join().skip(Duration.ofMillis(500));
+                started.join().skip(Duration.ofMillis(500));
                 actions.accept(new Send(a.id(), "s0", 0));
             }
-        }, backend); var client = proxy.client()) {
-            held.complete(proxy);
+        }, server); var client = proxy.client()) {
+            started.complete(proxy);
             client.send(Fixture.get("r1"));
-            Wire first = backend.accept();
+            Wire first = server.accept();
             assertThat(timeoutUs(first.read())).isLessThanOrEqualTo(1_900_000);
             first.close();
-            assertThat(timeoutUs(backend.accept().read())).isBetween(1L, 1_400_000L);
+            assertThat(timeoutUs(server.accept().read())).isBetween(1L, 1_400_000L);
         }
     }
 
@@ -70,18 +70,21 @@
         return Long.parseLong(attempt.header("X-Timeout").replace("u", ""));
     }
 
-    /** Rule 2: no attempt goes out beside another, and none once the request is over or has had its tries. */
+    /**
+     * Rule 2: whatever the balancer orders, no attempt is sent while another is in flight, after the request has been answered, or beyond
+     * the allowed number of attempts.
+     */
     @Test
-    void sendsNoSecondCopy() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+    void sendsNoSecondCopyOfARequest() throws Exception {
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
                 actions.accept(new Send(a.id(), "s0", 0));
                 actions.accept(new Send(a.id(), "unknown", 0));
             }
-        }, backend); var client = proxy.client()) {
+        }, server); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
-            Wire first = backend.accept();
+            Wire first = server.accept();
             first.read();
             for (int number = 1; number <= 2; number++) {
                 AttemptEnded end = proxy.next(AttemptEnded.class);
@@ -96,17 +99,17 @@
     }
 
     @Test
-    void cancelsWhenTheModuleSaysSo() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+    void cancelsAnAttemptIfTheBalancerOrdersIt() throws Exception {
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof ClientGone g) {
                 actions.accept(new Cancel(g.id(), 0));
             }
             Fixture.sendTo("s0").handle(event, actions);
-        }, backend)) {
+        }, server)) {
             Wire attempt;
             try (var client = proxy.client()) {
                 client.send(Fixture.get("r1"));
-                attempt = backend.accept();
+                attempt = server.accept();
                 attempt.read();
             }
             assertThat(attempt.ended()).isTrue();
@@ -117,7 +120,7 @@
     }
 
     @Test
-    void timersFireOnTheProxysClock() throws Exception {
+    void firesTheTimersOfTheBalancer() throws Exception {
         var set = new boolean[1];
         try (var proxy = new Fixture((event, actions) -> {
             if (!set[0]) {
@@ -129,37 +132,46 @@
         }
     }
 
-    /** Rule on clients that have gone: the loop was held up when it was to send, and the client's end lies unread. */
+    /**
+     * Guards against an attempt for a client that has disconnected. The loop was delayed before it sends the attempt, so the client's close
+     * is still unread in the socket.
+     */
     @Test
-    void beginsNoFirstAttemptForAClientWhoseEndIsNotReadYet() throws Exception {
-        leavesDuring(event -> event instanceof Arrival, 0);
+    void beginsNoFirstAttemptForAClientWhoseCloseIsUnread() throws Exception {
+        clientDisconnectsDuring(event -> event instanceof Arrival, 0);
     }
 
     @Test
-    void beginsNoFurtherAttemptForAClientWhoseEndIsNotReadYet() throws Exception {
-        leavesDuring(event -> event instanceof AttemptEnded e && e.attempt() == 0, 1);
+    void beginsNoFurtherAttemptForAClientWhoseCloseIsUnread() throws Exception {
+        clientDisconnectsDuring(event -> event instanceof AttemptEnded e && e.attempt() == 0, 1);
     }
 
-    /** The client leaves while the module is at an event, for longer than the loop may be; the event has it send. */
-    private static void leavesDuring(Predicate<Event> moment, int attempts) throws Exception {
-        var held = new CompletableFuture<Fixture>();
-        var leaving = new CompletableFuture<Wire>();
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
-            if (moment.test(event)) {
-                close(leaving.join());
-                held.join().skip(Duration.ofMillis(100));
+    /**
+     * Disconnects the client while the balancer handles one event, which takes longer than the loop may be delayed. The balancer then orders
+     * an attempt, which must not begin.
+     *
+     * @param isMoment selects that event
+     * @param attempts the number of attempts that begin before that event
+     */
+    private static void clientDisconnectsDuring(Predicate<Event> isMoment, int attempts) throws Exception {
+        var started = new CompletableFuture<Fixture>();
+        var leavingClient = new CompletableFuture<Wire>();
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+            if (isMoment.test(event)) {
+                close(leavingClient.join());
+                started.join().skip(Duration.ofMillis(100));
             }
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && !e.last()) {
                 actions.accept(new Send(e.id(), "s0", 0));
             }
-        }, backend); var client = proxy.client()) {
-            held.complete(proxy);
-            leaving.complete(client);
+        }, server); var client = proxy.client()) {
+            started.complete(proxy);
+            leavingClient.complete(client);
             client.send(Fixture.get("gone"));
             for (int i = 0; i < attempts; i++) {
-                try (Wire attempt = backend.accept()) {
+                try (Wire attempt = server.accept()) {
                     assertThat(attempt.read().header("X-Request-ID")).isEqualTo("gone");
                 }
             }
--- a/proxy/src/test/java/walkpost/proxy/RetuneTest.java
+++ b/proxy/src/test/java/walkpost/proxy/RetuneTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A configuration that takes another's place while the proxy runs. */
+/** Tests how a running proxy reloads its configuration. */
 class RetuneTest {
     private static final String READ = "{\"name\":\"read\",\"aim_us\":600000,\"deadline_us\":2000000,"
             + "\"effect\":\"idempotent\",\"value\":1,\"late_worth\":0}";
@@ -44,9 +44,9 @@
     }
 
     @Test
-    void addsDropsAndChangesClasses() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend)) {
-            backend.always(Peer.ok("made"));
+    void addsRemovesAndChangesClasses() throws Exception {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
+            server.always(Peer.ok("made"));
             String added = Fixture.get("r1").replace("read", "browse");
             assertThat(status(proxy, added)).isEqualTo(400);
             ObjectNode config = Fixture.config();
@@ -62,22 +62,23 @@
         }
     }
 
-    /** A request that has arrived, or is on its way, keeps what it came with: here its class, and its second attempt. */
+    /** A request that was received, in whole or in part, before a reload keeps its old settings: here its class and its second attempt. */
     @Test
-    void openRequestsKeepTheirRules() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+    void openRequestsKeepTheirSettings() throws Exception {
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && e.outcome() == Outcome.ERROR) {
                 actions.accept(new Send(e.id(), "s0", 0));
             }
-        }, backend); var open = proxy.client(); var late = proxy.client(); var after = proxy.client()) {
+        }, server); var open = proxy.client(); var partial = proxy.client(); var later = proxy.client()) {
             open.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
-            // It has been read so far: the proxy invites the rest.
-            late.send(Fixture.post("r2", "body").replace("Content-Length", "Expect: 100-continue\r\nContent-Length").replace("body", ""));
-            assertThat(late.readHead().first()).isEqualTo("HTTP/1.1 100 Continue");
+            // The answer 100 shows that the proxy has read the head of the request.
+            partial.send(Fixture.post("r2", "body").replace("Content-Length", "Expect: 100-continue\r\nContent-Length")
+                    .replace("body", ""));
+            assertThat(partial.readHead().first()).isEqualTo("HTTP/1.1 100 Continue");
             ObjectNode config = Fixture.config();
             classes(config).removeAll();
             classes(config).add(Config.JSON.readTree(READ));
@@ -88,12 +89,12 @@
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r1");
             attempt.send(Peer.ok("one"));
             assertThat(open.read().body()).isEqualTo("one");
-            late.send("body");
+            partial.send("body");
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r2");
             attempt.send(Peer.ok("two"));
-            assertThat(late.read().body()).isEqualTo("two");
-            // One that comes now has the one attempt that there is for it.
-            after.send(Fixture.get("r3"));
+            assertThat(partial.read().body()).isEqualTo("two");
+            // A request that comes in after the reload is allowed one attempt only.
+            later.send(Fixture.get("r3"));
             attempt.read();
             attempt.send(Peer.answer("500 Error", "x"));
             AttemptEnded end = proxy.next(AttemptEnded.class);
@@ -104,51 +105,51 @@
         }
     }
 
-    /** Whatever is wrong, nothing of it is taken over: neither the classes that are there nor discovery's new place. */
+    /** Guards against a file that is applied in part: if anything in it is invalid, its classes and its discovery are ignored too. */
     @Test
-    void aFileThatIsNoGoodChangesNothing() throws Exception {
-        var bad = new LinkedHashMap<String, String>();
-        ObjectNode good = Fixture.config().put("discovery", "127.0.0.1:2");
-        classes(good).add(Config.JSON.readTree(READ.replace("read", "browse")));
-        String text = good.toString();
-        bad.put("empty", "");
-        bad.put("blank", " \n");
-        bad.put("cut off", text.substring(0, text.length() - 2));
-        bad.put("cut off early", text.substring(0, 40));
-        bad.put("with more behind", text + "}");
-        bad.put("no object", "[]");
+    void anInvalidFileChangesNothing() throws Exception {
+        var invalidFiles = new LinkedHashMap<String, String>();
+        ObjectNode valid = Fixture.config().put("discovery", "127.0.0.1:2");
+        classes(valid).add(Config.JSON.readTree(READ.replace("read", "browse")));
+        String text = valid.toString();
+        invalidFiles.put("empty", "");
+        invalidFiles.put("blank", " \n");
+        invalidFiles.put("cut off", text.substring(0, text.length() - 2));
+        invalidFiles.put("cut off early", text.substring(0, 40));
+        invalidFiles.put("with text after the end", text + "}");
+        invalidFiles.put("not an object", "[]");
         for (String deadline : new String[] {"0", "-5", "\"soon\"", "null", "1.5"}) {
-            bad.put("deadline " + deadline, text.replaceFirst("\"deadline_us\":2000000", "\"deadline_us\":" + deadline));
+            invalidFiles.put("deadline " + deadline, text.replaceFirst("\"deadline_us\":2000000", "\"deadline_us\":" + deadline));
         }
         for (String tries : new String[] {"0", "-1", "\"\"", "null"}) {
-            bad.put("attempts " + tries, text.replaceFirst("\"most_tries\":4", "\"most_tries\":" + tries));
+            invalidFiles.put("attempts " + tries, text.replaceFirst("\"most_tries\":4", "\"most_tries\":" + tries));
         }
-        bad.put("two of a name", text.replace("\"browse\"", "\"read\""));
+        invalidFiles.put("two classes with one name", text.replace("\"browse\"", "\"read\""));
         for (String key : new ArrayList<>(Fixture.config().properties().stream().map(Map.Entry::getKey).toList())) {
             if (!key.equals("known")) {
-                bad.put("short of " + key, good.deepCopy().without(key).toString());
+                invalidFiles.put("without " + key, valid.deepCopy().without(key).toString());
             }
         }
         for (String object : new String[] {"bounds", "invariants"}) {
-            object(good, object).properties().forEach(e -> {
-                ObjectNode without = good.deepCopy();
+            object(valid, object).properties().forEach(e -> {
+                ObjectNode without = valid.deepCopy();
                 object(without, object).remove(e.getKey());
-                bad.put("short of " + e.getKey(), without.toString());
+                invalidFiles.put("without " + e.getKey(), without.toString());
             });
         }
-        good.path("settings").properties().forEach(e -> {
-            ObjectNode without = good.deepCopy();
+        valid.path("settings").properties().forEach(e -> {
+            ObjectNode without = valid.deepCopy();
             ((ObjectNode) without.path("settings")).remove(e.getKey());
-            bad.put("short of " + e.getKey(), without.toString());
+            invalidFiles.put("without " + e.getKey(), without.toString());
         });
-        classes(good).path(0).properties().forEach(e -> {
-            ObjectNode without = good.deepCopy();
+        classes(valid).path(0).properties().forEach(e -> {
+            ObjectNode without = valid.deepCopy();
             ((ObjectNode) classes(without).path(0)).remove(e.getKey());
-            bad.put("a class short of " + e.getKey(), without.toString());
+            invalidFiles.put("a class without " + e.getKey(), without.toString());
         });
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend)) {
-            backend.always(Peer.ok("made"));
-            for (var file : bad.entrySet()) {
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
+            server.always(Peer.ok("made"));
+            for (var file : invalidFiles.entrySet()) {
                 reconfigure(proxy, file.getValue());
                 assertThat(status(proxy, Fixture.get("r1"))).as(file.getKey()).isEqualTo(200);
                 assertThat(proxy.events).as(file.getKey()).noneMatch(Retuned.class::isInstance);
--- a/proxy/src/test/java/walkpost/proxy/ServeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServeTest.java
@@ -14,15 +14,15 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** A planned restart, and the limit on sockets. */
+/** Tests the proxy as a whole: with its own balancer, at a planned restart and at the limit of connections. */
 class ServeTest {
-    /** All of it together, with the module that is in service: it watches, serves, tries elsewhere, and refuses. */
+    /** With the balancer that it has in production the proxy watches the server list, serves, retries on another server and refuses. */
     @Test
-    void servesWithTheModule() throws Exception {
+    void servesWithTheProductionBalancer() throws Exception {
         var dead = new Peer();
         dead.close();
-        try (var backend = new Peer(); var proxy = Fixture.inService(dead, backend); var client = proxy.client()) {
-            backend.always(Peer.ok("served"));
+        try (var server = new Peer(); var proxy = Fixture.inService(dead, server); var client = proxy.client()) {
+            server.always(Peer.ok("served"));
             Wire call = proxy.discovery.accept();
             assertThat(call.read().first()).contains("from=41&hold_ms=0");
             for (int i = 0; i < 10; i++) {
@@ -36,22 +36,22 @@
         }
     }
 
-    /** Rule 1 at a restart: what is taken is answered, new clients are served while the front still sends them. */
+    /** Rule 1 at a restart: accepted requests are answered, and new clients are served while the front still sends them here. */
     @Test
-    void answersAllThatItHasTakenBeforeItEnds() throws Exception {
-        var asked = new AtomicBoolean();
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
-            if (!asked.getAndSet(true)) {
+    void answersAllAcceptedRequestsBeforeItEnds() throws Exception {
+        var fetched = new AtomicBoolean();
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+            if (!fetched.getAndSet(true)) {
                 actions.accept(new Fetch());
             }
             Fixture.sendTo("s0").handle(event, actions);
-        }, backend); var busy = proxy.client(); var idle = proxy.client(); var used = proxy.client()) {
-            proxy.discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", backend.address(), "ready"))));
+        }, server); var busy = proxy.client(); var idle = proxy.client(); var used = proxy.client()) {
+            proxy.discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "ready"))));
             proxy.next(Members.class);
             proxy.next(Members.class);
             assertThat(used.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(200);
             busy.send(Fixture.get("r1"));
-            Wire slow = backend.accept();
+            Wire slow = server.accept();
             slow.read();
             idle.send("GET /other HTTP/1.1\r\n\r\n").read();
             used.send("GET /other HTTP/1.1\r\n\r\n").read();
@@ -61,17 +61,17 @@
                 answer = used.send("GET /ready HTTP/1.1\r\n\r\n").read();
             }
             assertThat(answer.header("Connection")).isNull();
-            // It is told, and goes on with the clients it has, and with those that the front still sends.
+            // The shutdown has begun. The proxy still serves the clients that it has and those that the front still sends.
             try (var late = proxy.client()) {
                 late.send(Fixture.get("r2"));
-                Wire attempt = backend.accept();
+                Wire attempt = server.accept();
                 attempt.read();
                 attempt.send(Peer.ok("late"));
                 assertThat(late.read().body()).isEqualTo("late");
             }
             slow.send(Peer.ok("slow"));
             assertThat(busy.read().body()).isEqualTo("slow");
-            // One that would wait for longer than there is time is answered before the end all the same.
+            // A request whose deadline is after the end of the process is answered before the end.
             used.send(Fixture.get("r3").replace("1900m", "9000m"));
             assertThat(slow.read().header("X-Request-ID")).isEqualTo("r3");
             assertThat(idle.ended()).isTrue();
@@ -85,48 +85,48 @@
         }
     }
 
-    /** More clients than there are sockets: idle ones are given up, and whoever asks is served. */
+    /** Guards against failed requests when there are more clients than connections: the proxy closes idle connections to make room. */
     @Test
-    void givesUpIdleConnectionsRatherThanFail() throws Exception {
-        var crowd = new ArrayList<Wire>();
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, backend)) {
-            backend.always(Peer.ok("x"));
+    void closesIdleConnectionsToMakeRoom() throws Exception {
+        var clients = new ArrayList<Wire>();
+        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
+            server.always(Peer.ok("x"));
             for (int i = 0; i < 200; i++) {
                 Wire client = proxy.client();
-                crowd.add(client);
+                clients.add(client);
                 assertThat(client.send(Fixture.get("r" + i)).read().status()).isEqualTo(200);
             }
-            assertThat(crowd.get(0).ended()).isTrue();
-            assertThat(crowd.get(199).send(Fixture.get("again")).read().status()).isEqualTo(200);
+            assertThat(clients.get(0).ended()).isTrue();
+            assertThat(clients.get(199).send(Fixture.get("again")).read().status()).isEqualTo(200);
         } finally {
-            for (Wire client : crowd) {
+            for (Wire client : clients) {
                 client.close();
             }
         }
     }
 
-    /** Where all are busy, whoever comes next waits to be accepted, and is served when there is room again. */
+    /** Guards against a client that is never accepted: if all connections are busy, it waits until there is room again. */
     @Test
-    void acceptsAgainOnceThereIsRoom() throws Exception {
-        var crowd = new ArrayList<Wire>();
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+    void acceptsAWaitingClientOnceThereIsRoom() throws Exception {
+        var clients = new ArrayList<Wire>();
+        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().startsWith("last")) {
                 Fixture.sendTo("s0").handle(event, actions);
             }
-        }, 128, 15_000_000, backend)) {
-            backend.always(Peer.ok("x"));
+        }, 128, 15_000_000, server)) {
+            server.always(Peer.ok("x"));
             for (int i = 0; i < 60; i++) {
-                crowd.add(proxy.client().send(Fixture.get("r" + i)));
+                clients.add(proxy.client().send(Fixture.get("r" + i)));
             }
             Wire last = proxy.client().send(Fixture.get("last"));
-            crowd.add(last);
-            // The silent ones are answered in the end, by the proxy, and make room.
+            clients.add(last);
+            // The balancer never answers the other requests. The proxy fails them after their deadlines, which makes room.
             assertThat(last.read()).isNotNull();
-            for (Wire client : List.copyOf(crowd).subList(0, 20)) {
+            for (Wire client : List.copyOf(clients).subList(0, 20)) {
                 assertThat(client.read().status()).isEqualTo(502);
             }
         } finally {
-            for (Wire client : crowd) {
+            for (Wire client : clients) {
                 client.close();
             }
         }
--- a/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
@@ -20,32 +20,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What crosses the end of a proxy whose deadlines are so short that there is hardly time for it. */
+/** Tests requests, clients, signals and reloads that cross the graceful shutdown of a proxy with deadlines that leave it little time. */
 class ShutdownTest {
     @TempDir
-    private Path temp;
-    private Peer backend;
+    private Path tempDir;
+    private Peer server;
     private Peer discovery;
     private Serve serve;
 
     @BeforeEach
-    void begin() throws Exception {
-        backend = new Peer();
+    void start() throws Exception {
+        server = new Peer();
         discovery = new Peer();
-        serve = new Serve(Config.parse(config(100_000)), new Surroundings(null, temp, null, null),
+        serve = new Serve(Config.parse(config(100_000)), new Surroundings(null, tempDir, null, null),
                 (now, event, actions) -> Fixture.sendTo("s0").handle(event, actions));
-        serve.begin();
+        serve.start();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         serve.stop();
-        backend.close();
+        server.close();
         discovery.close();
     }
 
     private ObjectNode config(long deadlineUs) throws Exception {
-        ObjectNode config = UpgradeTest.config(backend, discovery);
+        ObjectNode config = UpgradeTest.config(server, discovery);
         for (JsonNode profile : config.path("settings").path("profiles")) {
             ((ObjectNode) profile).put("deadline_us", deadlineUs).put("aim_us", 50_000);
         }
@@ -56,9 +56,9 @@
         return CompletableFuture.runAsync(serve::drain);
     }
 
-    /** While new clients come, those that are there stay as well: no deadline is so short that they are sent off. */
+    /** Guards against idle connections that are closed while new clients still come in, which short deadlines could cause. */
     @Test
-    void idleClientsStayUntilNobodyNewComes() throws Exception {
+    void idleClientsStayConnectedUntilTheListenerCloses() throws Exception {
         InetSocketAddress address = serve.listen();
         try (var idle = Wire.to(address)) {
             idle.send("GET /other HTTP/1.1\r\n\r\n").read();
@@ -69,14 +69,14 @@
         }
     }
 
-    /** One that came before the signal, with more time than there is left now, is answered all the same. */
+    /** A request from before the signal, with a deadline after the end of the process, is answered before the end. */
     @Test
-    void whatWasTakenBeforeIsAnsweredBeforeTheEnd() throws Exception {
+    void answersAnEarlierRequestBeforeTheEnd() throws Exception {
         try (var client = Wire.to(serve.listen())) {
             client.send(Fixture.get("r1").replace("1900m", "9000m"));
-            backend.accept().read();
+            server.accept().read();
             drain().get(10, TimeUnit.SECONDS);
-            // The process ends here: what is not written by now never is.
+            // The process would end here, so the answer must have been written.
             serve.stop();
             Wire.Message answer = client.read();
             assertThat(answer.status()).isEqualTo(502);
@@ -85,20 +85,20 @@
         }
     }
 
-    /** To end before it could begin is to begin never. */
+    /** A proxy that is told to end before it listens never listens. */
     @Test
-    void nobodyIsTakenInAfterTheEnd() throws Exception {
+    void doesNotListenAfterAShutdown() throws Exception {
         serve.drain();
         assertThat(serve.listen()).isNull();
     }
 
-    /** Neither a good file nor a bad one has it stay for longer, or fail. */
+    /** Neither a valid nor an invalid file makes the shutdown take longer or fail. */
     @Test
-    void aNewConfigurationChangesNothingOfTheEnd() throws Exception {
+    void aReloadDoesNotChangeTheShutdown() throws Exception {
         try (var client = Wire.to(serve.listen())) {
             CompletableFuture<Void> drained = drain();
-            serve.reconfigure(Files.writeString(temp.resolve("good"), config(60_000_000).toString()));
-            serve.reconfigure(Files.writeString(temp.resolve("bad"), "{"));
+            serve.reconfigure(Files.writeString(tempDir.resolve("good"), config(60_000_000).toString()));
+            serve.reconfigure(Files.writeString(tempDir.resolve("bad"), "{"));
             client.send(Fixture.get("r1").replace("1900m", "9000m"));
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(client.ended()).isTrue();
@@ -106,15 +106,15 @@
         }
     }
 
-    /** Signals that come again or beside each other neither put the end off nor bring it forward. */
+    /** Repeated signals neither delay the end nor bring it forward. */
     @Test
-    void furtherSignalsChangeNothingOfTheEnd(@TempDir Path dir) throws Exception {
+    void furtherSignalsDoNotChangeTheShutdown(@TempDir Path dir) throws Exception {
         try (var program = new Program(dir, config(100_000))) {
             String listening = program.line("listening proxy");
             int port = Integer.parseInt(listening.replaceAll(".*port=", ""));
             try (var client = Wire.to(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
                 client.send(Fixture.get("r1").replace("1900m", "9000m"));
-                backend.accept().read();
+                server.accept().read();
                 program.signal("TERM");
                 program.line("draining");
                 program.signal("TERM");
@@ -127,39 +127,39 @@
         }
     }
 
-    /** The system resets whoever waits in the queue of a socket that is closed; they have connected all the same. */
+    /** Guards against clients that the system resets, because they wait in the queue of the listening socket when it is closed. */
     @Test
-    void whoeverWaitsToBeAcceptedIsServedBeforeTheEnd() throws Exception {
-        var crowd = new ArrayList<Wire>();
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+    void servesTheQueuedClientsBeforeTheEnd() throws Exception {
+        var clients = new ArrayList<Wire>();
+        try (var fixtureServer = new Peer(); var proxy = new Fixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("last")) {
                 Fixture.sendTo("s0").handle(event, actions);
             }
-        }, 128, 15_000_000, server)) {
-            server.always(Peer.ok("x"));
+        }, 128, 15_000_000, fixtureServer)) {
+            fixtureServer.always(Peer.ok("x"));
             for (int i = 0; i < 20; i++) {
-                crowd.add(proxy.client().send(Fixture.get("r" + i).replace("1900m", "60000m")));
+                clients.add(proxy.client().send(Fixture.get("r" + i).replace("1900m", "60000m")));
                 proxy.next(Arrival.class);
             }
-            crowd.add(proxy.client().send(Fixture.get("last")));
+            clients.add(proxy.client().send(Fixture.get("last")));
             CompletableFuture.runAsync(proxy::drain);
-            assertThat(crowd.get(20).read().body()).isEqualTo("x");
+            assertThat(clients.get(20).read().body()).isEqualTo("x");
         } finally {
-            for (Wire client : crowd) {
+            for (Wire client : clients) {
                 client.close();
             }
         }
     }
 
-    /** Half a request has been read behind one whose answer is to be the last: then that answer is not the last. */
+    /** Guards against a connection that is closed after an answer although part of the next request has been read. */
     @Test
-    void aRequestThatHasBegunIsAnsweredBeforeItsConnectionEnds() throws Exception {
-        try (var server = new Peer();
+    void answersAPartlyReadRequestBeforeItsConnectionEnds() throws Exception {
+        try (var fixtureServer = new Peer();
                 var socket = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                var proxy = Fixture.sharing(socket, Fixture.sendTo("s0"), temp, server); var client = proxy.client()) {
+                var proxy = Fixture.sharing(socket, Fixture.sendTo("s0"), tempDir, fixtureServer); var client = proxy.client()) {
             String second = Fixture.get("r2");
             client.send(Fixture.get("r1") + second.substring(0, 10));
-            Wire attempt = server.accept();
+            Wire attempt = fixtureServer.accept();
             attempt.read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             while (socket.isOpen()) {
--- a/proxy/src/test/java/walkpost/proxy/SystemCallFailuresTest.java
+++ b/proxy/src/test/java/walkpost/proxy/SystemCallFailuresTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** The counters of failed calls, and what a burst of them writes to the log. */
+/** Tests that every failed call is counted and that a burst of them does not flood the log. */
 class SystemCallFailuresTest {
     private final AtomicLong nanoTime = new AtomicLong();
     private final List<String> reports = new ArrayList<>();
@@ -17,19 +17,19 @@
             (call, error, total, sinceLast) -> reports.add(call + " " + total + " " + sinceLast));
 
     @Test
-    void aBurstIsCountedWholeAndLoggedOnceASecond() {
+    void countsEveryFailureOfABurstAndReportsOncePerSecond() {
         var cause = new IOException("No buffer space available");
         for (int i = 0; i < 10_000; i++) {
             failures.failed("write", cause);
         }
-        nanoTime.addAndGet(SystemCallFailures.LOG_EVERY_NS);
+        nanoTime.addAndGet(SystemCallFailures.LOG_INTERVAL_NS);
         failures.failed("write", cause);
         assertThat(failures.totals()).containsExactly(Map.entry("write: No buffer space available", 10_001L));
         assertThat(reports).containsExactly("write 1 1", "write 10001 10000");
     }
 
     @Test
-    void messagesThatDifferEachTimeDoNotGrowTheCountersForEver() {
+    void boundsTheNumberOfKindsIfEveryMessageDiffers() {
         for (int i = 0; i < 1_000; i++) {
             failures.failed("connect", new IOException("No route to 10.0.0." + i));
         }
--- a/proxy/src/test/java/walkpost/proxy/SystemCallFaults.java
+++ b/proxy/src/test/java/walkpost/proxy/SystemCallFaults.java
@@ -7,30 +7,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** Lets system calls of a process under test fail, by the library in {@code lab/src/main/c}; a test says from when until when. */
+/** Injects failures into the system calls of a process under test, with the library in {@code lab/src/main/c}. */
 final class SystemCallFaults {
     private static final String SOURCE = "lab/src/main/c/syscall_faults.c";
-    private static final long LOOK_MS = 5;
+    private static final long POLL_INTERVAL_MS = 5;
 
-    private final Path armed;
+    private final Path armedFile;
     private final Path log;
     private final Path library;
     private final String plan;
 
     /**
-     * Builds the library in a folder of the test's.
+     * Builds the library.
      *
-     * @param plan the calls and their errors, as the library's head comment has them
+     * @param dir a directory of the test
+     * @param plan the calls and their errors, in the form that the library's first comment describes
      */
     SystemCallFaults(Path dir, String plan) throws IOException, InterruptedException {
         this.plan = plan;
-        armed = dir.resolve("armed");
+        armedFile = dir.resolve("armed");
         log = dir.resolve("faults.log");
         library = dir.resolve("faults.so");
         Process compiler = new ProcessBuilder("cc", "-std=c11", "-O1", "-fPIC", "-shared", "-o", library.toString(),
                 source().toString(), "-ldl").inheritIO().start();
         if (compiler.waitFor() != 0) {
-            throw new IOException(SOURCE + " does not compile");
+            throw new IOException(SOURCE + " does not compile; the output of cc says why");
         }
     }
 
@@ -42,34 +43,34 @@
         return folder.resolve(SOURCE);
     }
 
-    /** Returns the variables that a process needs to have its calls fail while {@link #begin} holds. */
+    /** Returns the environment variables that inject the failures into a process while they are armed. */
     Map<String, String> environment() {
         var variables = new HashMap<String, String>();
         variables.put("LD_PRELOAD", library.toString());
-        variables.put("SYSCALL_FAULTS", plan + ";every=0;for=600000;armed=" + armed);
+        variables.put("SYSCALL_FAULTS", plan + ";every=0;for=600000;armed=" + armedFile);
         variables.put("SYSCALL_FAULTS_LOG", log.toString());
         return variables;
     }
 
-    /** From now on calls fail. */
-    void begin() throws IOException {
-        Files.createFile(armed);
+    /** Makes calls fail from now on. */
+    void arm() throws IOException {
+        Files.createFile(armedFile);
     }
 
-    /** From now on none does. */
-    void end() throws IOException {
-        Files.delete(armed);
+    /** Makes no call fail from now on. */
+    void disarm() throws IOException {
+        Files.delete(armedFile);
     }
 
-    /** Returns the faults that came about so far, a line each. */
-    List<String> seen() throws IOException {
+    /** Returns the faults injected so far, one line each. */
+    List<String> injected() throws IOException {
         return Files.exists(log) ? Files.readAllLines(log) : List.of();
     }
 
-    /** Waits until so many faults have come about. */
+    /** Waits until at least {@code count} faults have been injected. */
     void await(int count) throws IOException, InterruptedException {
-        while (seen().size() < count) {
-            Thread.sleep(LOOK_MS);
+        while (injected().size() < count) {
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/SystemCallFaultsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/SystemCallFaultsTest.java
@@ -14,26 +14,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A real process whose system calls fail for a moment: nobody who waits is forgotten, and nothing that was told is lost. */
+/** Tests that a real process answers every client and loses no answer of discovery while its system calls fail for a moment. */
 @Timeout(60)
 class SystemCallFaultsTest {
-    /** More than is gathered before it is passed on, in bytes. */
-    private static final int LONG_ANSWER = 200_000;
+    /** The length of an answer that is too long to be buffered whole. */
+    private static final int LONG_ANSWER_BYTES = 200_000;
 
     @TempDir
     private Path dir;
     private final Peer discovery;
-    private final Peer backend;
+    private final Peer server;
 
     SystemCallFaultsTest() throws IOException {
         discovery = new Peer();
-        backend = new Peer();
+        server = new Peer();
     }
 
     private Program program(SystemCallFaults faults) throws IOException {
         ObjectNode config = Fixture.config();
         config.put("discovery", discovery.address());
-        String entry = Fixture.entry("s0", backend.address(), "ready");
+        String entry = Fixture.entry("s0", server.address(), "ready");
         config.set("known", Config.JSON.readTree(Fixture.list(41, true, entry)));
         return new Program(dir, config, faults.environment());
     }
@@ -44,21 +44,21 @@
         return Wire.to(new InetSocketAddress("127.0.0.1", port));
     }
 
-    private String draining() {
-        return Peer.ok(Fixture.list(42, true, Fixture.entry("s0", backend.address(), "draining")));
+    private String listWithDrainingServer() {
+        return Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "draining")));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"EMFILE", "ENOBUFS"})
-    void theCallAfterAnAnswerIsMadeThoughItsSocketCouldNotBeHad(String error) throws Exception {
+    void callsDiscoveryAgainDespiteAFailedSocketCall(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "socket=" + error + ";most=1");
         try (Program program = program(faults)) {
             Wire call = discovery.accept();
             call.read();
-            faults.begin();
+            faults.arm();
             call.send(Peer.ok(Fixture.list(42, true)));
             assertThat(discovery.accept().read().first()).contains("from=42&");
-            assertThat(faults.seen()).hasSize(1);
+            assertThat(faults.injected()).hasSize(1);
             program.signal("KILL");
             assertThat(program.linesUpTo("no such line")).noneMatch(line -> line.contains("asked_again"));
         }
@@ -66,74 +66,74 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"EHOSTUNREACH", "ETIMEDOUT", "EINTR", "SHORT"})
-    void anAnswerOfDiscoveryIsTakenThoughItsReadFailedForAMoment(String error) throws Exception {
+    void readsDiscoverysAnswerDespiteAFailedRead(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "read=" + error + ";most=1");
         try (Program program = program(faults)) {
             Wire call = discovery.accept();
             call.read();
-            faults.begin();
-            call.send(draining());
+            faults.arm();
+            call.send(listWithDrainingServer());
             assertThat(discovery.accept().read().first()).contains("from=42&");
-            assertThat(faults.seen()).hasSize(1);
+            assertThat(faults.injected()).hasSize(1);
             assertThat(program.ended()).isFalse();
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"EHOSTUNREACH", "EINTR"})
-    void aRequestIsAnsweredThoughAReadFromItsClientFailedForAMoment(String error) throws Exception {
+    void answersARequestDespiteAFailedReadFromItsClient(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "read=" + error + ";most=1");
-        backend.always(Peer.ok("served"));
+        server.always(Peer.ok("served"));
         try (Program program = program(faults); Wire client = client(program)) {
             String request = Fixture.get("r1");
             client.send(request.substring(0, 20));
-            faults.begin();
+            faults.arm();
             client.send(request.substring(20));
             assertThat(client.read().body()).isEqualTo("served");
-            assertThat(faults.seen()).hasSize(1);
+            assertThat(faults.injected()).hasSize(1);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ENOBUFS", "SHORT"})
-    void aRequestIsAnsweredThoughWritesFailedForAMoment(String error) throws Exception {
+    void answersARequestDespiteFailedWrites(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "write=" + error + ";most=2");
-        BlockingQueue<Wire.Message> attempts = backend.always(Peer.ok("served"));
+        BlockingQueue<Wire.Message> attempts = server.always(Peer.ok("served"));
         try (Program program = program(faults); Wire client = client(program)) {
-            faults.begin();
+            faults.arm();
             client.send(Fixture.post("r1", "a body"));
             assertThat(client.read().body()).isEqualTo("served");
             assertThat(attempts).extracting(Wire.Message::body).containsExactly("a body");
-            assertThat(faults.seen()).hasSize(2);
+            assertThat(faults.injected()).hasSize(2);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ENOBUFS", "EHOSTUNREACH"})
-    void anAnswerReachesItsClientThoughItsWriteFailedForAMoment(String error) throws Exception {
+    void deliversAnAnswerDespiteAFailedWrite(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "write=" + error + ";most=1");
         try (Program program = program(faults); Wire client = client(program)) {
             client.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
-            faults.begin();
+            faults.arm();
             attempt.send(Peer.ok("served"));
             assertThat(client.read().body()).isEqualTo("served");
-            assertThat(faults.seen()).hasSize(1);
+            assertThat(faults.injected()).hasSize(1);
         }
     }
 
     @Test
-    void aBrokenAnswerOfUnknownLengthIsNotTakenForAWholeOne() throws Exception {
+    void reportsATruncatedAnswerOfUnknownLength() throws Exception {
         var faults = new SystemCallFaults(dir, "read=ETIMEDOUT;most=1");
         try (Program program = program(faults); Wire client = client(program)) {
             client.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
-            attempt.send("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(LONG_ANSWER));
+            attempt.send("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(LONG_ANSWER_BYTES));
             assertThat(client.readHead().header("Transfer-Encoding")).isEqualTo("chunked");
-            client.skip(LONG_ANSWER);
-            faults.begin();
+            client.skip(LONG_ANSWER_BYTES);
+            faults.arm();
             attempt.close();
             faults.await(1);
             assertThatThrownBy(client::rest).isInstanceOf(IOException.class);
@@ -143,50 +143,50 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"socket=EMFILE", "bind=ENOMEM", "listen=ENOMEM"})
-    void aStartGoesOnThoughACallFailedForAMoment(String call) throws Exception {
+    void startsDespiteFailedCalls(String call) throws Exception {
         var faults = new SystemCallFaults(dir, call + ";most=3");
-        faults.begin();
+        faults.arm();
         try (Program program = program(faults); Wire client = client(program)) {
             client.send("GET /ready HTTP/1.1\r\n\r\n");
             assertThat(client.read()).isNotNull();
             assertThat(program.ended()).isFalse();
-            assertThat(faults.seen()).hasSize(3);
+            assertThat(faults.injected()).hasSize(3);
         }
     }
 
     @Test
-    void aStartGoesOnThoughItsConfigurationCouldNotBeReadForAMoment() throws Exception {
+    void startsDespiteFailedReadsOfItsConfiguration() throws Exception {
         var faults = new SystemCallFaults(dir, "open_read=EMFILE;path=config.json;most=2");
-        faults.begin();
+        faults.arm();
         try (Program program = program(faults)) {
             assertThat(program.line("listening")).isNotNull();
-            assertThat(faults.seen()).hasSize(2);
+            assertThat(faults.injected()).hasSize(2);
         }
     }
 
     @Test
-    void aNewConfigurationIsTakenThoughItsFileCouldNotBeReadForAMoment() throws Exception {
+    void reloadsItsConfigurationDespiteFailedReads() throws Exception {
         var faults = new SystemCallFaults(dir, "open_read=EIO;path=config.json;most=2");
         try (var next = new Peer(); Program program = program(faults)) {
             discovery.accept().read();
             program.line("listening");
             program.configure(Fixture.config().put("discovery", next.address()));
-            faults.begin();
+            faults.arm();
             program.signal("HUP");
             assertThat(next.accept().read().first()).contains("/v1/endpoints");
-            assertThat(faults.seen()).hasSize(2);
+            assertThat(faults.injected()).hasSize(2);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"wakeup_write=EIO", "wakeup_read=EIO"})
-    void shutdownServesToTheEndThoughTheLoopCouldNotBeWokenForAMoment(String call) throws Exception {
+    void servesUntilTheEndOfAShutdownDespiteFailedWakeups(String call) throws Exception {
         var faults = new SystemCallFaults(dir, call + ";most=2");
-        backend.always(Peer.ok("served"));
+        server.always(Peer.ok("served"));
         try (Program program = program(faults); Wire client = client(program)) {
             client.send(Fixture.get("r1"));
             assertThat(client.read().status()).isEqualTo(200);
-            faults.begin();
+            faults.arm();
             program.signal("TERM");
             assertThat(program.line("draining")).isNotNull();
             client.send(Fixture.get("r2"));
--- a/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
@@ -20,47 +20,47 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients that come over a listening socket which this process shares with the one before it and the one after it. */
+/** Tests an upgrade, in which the old and the new process accept clients on one listening socket. */
 class UpgradeTest {
     @TempDir
-    private Path temp;
+    private Path tempDir;
 
-    private static ServerSocketChannel listening() throws Exception {
+    private static ServerSocketChannel openListener() throws Exception {
         return ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
-    /** Until it can serve, clients wait in the socket's queue, where another process may take them. */
+    /** Until the proxy can serve, clients wait in the socket's queue, where another process may accept them. */
     @Test
-    void takesNobodyInBeforeItIsReady() throws Exception {
-        try (var backend = new Peer(); var socket = listening();
+    void acceptsNoClientBeforeItIsReady() throws Exception {
+        try (var server = new Peer(); var socket = openListener();
                 var proxy = Fixture.sharing(socket, (event, actions) -> {
                     if (event instanceof Members m && m.kind() == ListKind.CACHED) {
                         actions.accept(new Watch(true));
                     } else if (event instanceof Arrival a) {
                         actions.accept(new Send(a.id(), "s0", 0));
                     }
-                }, temp); var client = proxy.client()) {
+                }, tempDir); var client = proxy.client()) {
             client.send(Fixture.get("r1"));
             assertThat(proxy.call("readyz\n")).startsWith("FAILURE");
             Wire call = proxy.discovery.accept();
             call.read();
             assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
-            backend.always(Peer.ok("served"));
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", backend.address(), "ready"))));
+            server.always(Peer.ok("served"));
+            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "ready"))));
             assertThat(client.read().body()).isEqualTo("served");
             assertThat(proxy.call("readyz\n")).startsWith("SUCCESS");
             assertThat(socket.isBlocking()).isTrue();
         }
     }
 
-    /** It accepts nobody more at once, and sends those that it has on to the next process, each after an answer. */
+    /** At the start of a shutdown the proxy stops accepting clients, and closes each connection after its next answer. */
     @Test
-    void handsItsClientsOnWhenItIsToldToEnd() throws Exception {
-        try (var backend = new Peer(); var socket = listening();
-                var proxy = Fixture.sharing(socket, Fixture.sendTo("s0"), temp, backend);
+    void handsItsClientsOverToTheNextProcess() throws Exception {
+        try (var server = new Peer(); var socket = openListener();
+                var proxy = Fixture.sharing(socket, Fixture.sendTo("s0"), tempDir, server);
                 var busy = proxy.client(); var idle = proxy.client()) {
             busy.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+            Wire attempt = server.accept();
             attempt.read();
             idle.send("GET /other HTTP/1.1\r\n\r\n").read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
@@ -74,7 +74,7 @@
             assertThat(answer.header("Connection")).isEqualTo("close");
             assertThat(busy.ended()).isTrue();
             assertThat(drained).isNotDone();
-            Wire second = backend.accept();
+            Wire second = server.accept();
             second.read();
             second.send(Peer.ok("two"));
             assertThat(idle.read().body()).isEqualTo("two");
@@ -83,19 +83,19 @@
         }
     }
 
-    /** A loop that is busy gets all that wait when it comes to it, not one a turn: they would give up in the queue. */
+    /** Guards against a busy loop that gets one client per turn, so that clients give up in the queue: it gets all that wait. */
     @Test
     @Timeout(5)
-    void clientsAreAcceptedAheadOfABusyLoop() throws Exception {
+    void acceptsClientsAheadOfABusyLoop() throws Exception {
         var loop = new DefaultEventLoop();
-        var goOn = new CountDownLatch(1);
+        var loopMayContinue = new CountDownLatch(1);
         var admitted = new CountDownLatch(InheritedListener.AHEAD);
         var ended = new CountDownLatch(1);
-        try (var socket = listening()) {
+        try (var socket = openListener()) {
             var listener = new InheritedListener(socket, loop, new SystemCallFailures(), client -> admitted.countDown(), ended::countDown);
             loop.execute(() -> {
                 try {
-                    goOn.await();
+                    loopMayContinue.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -108,23 +108,23 @@
                 Thread.onSpinWait();
             }
             assertThat(loop.pendingTasks()).isEqualTo(InheritedListener.AHEAD);
-            goOn.countDown();
+            loopMayContinue.countDown();
             admitted.await();
             listener.close();
             ended.await();
         } finally {
-            goOn.countDown();
+            loopMayContinue.countDown();
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The whole of it: two processes on one socket; the old one ends, and clients, old and new, are served throughout. */
+    /** Two real processes share one socket. The old one ends, and clients with old and new connections are served throughout. */
     @Test
-    void theNextProcessServesOnOverTheSameSocket(@TempDir Path dir) throws Exception {
-        try (var backend = new Peer(); var discovery = new Peer();
-                var platform = new Platform(dir, config(backend, discovery))) {
-            backend.always(Peer.ok("served"));
-            discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", backend.address(), "ready"))));
+    void theNextProcessServesOverTheSameSocket(@TempDir Path dir) throws Exception {
+        try (var server = new Peer(); var discovery = new Peer();
+                var platform = new Platform(dir, config(server, discovery))) {
+            server.always(Peer.ok("served"));
+            discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "ready"))));
             platform.start();
             platform.line("listening proxy=n0 socket=inherited");
             try (var client = platform.client()) {
@@ -134,7 +134,7 @@
                 platform.endFirst();
                 assertThat(platform.line("draining|drained")).contains("draining");
                 assertThat(client.send(Fixture.get("r2")).read().header("Connection")).isEqualTo("close");
-                // Its log goes on after the JDK has given up descriptor 2 along with the socket.
+                // The log goes on after the JDK has closed descriptor 2 along with the socket.
                 assertThat(platform.line("drained")).endsWith(" INFO serve drained proxy=n0");
             }
             try (var client = platform.client()) {
@@ -143,9 +143,10 @@
         }
     }
 
-    static ObjectNode config(Peer backend, Peer discovery) throws Exception {
+    /** Returns a configuration with an address of discovery and one known server. */
+    static ObjectNode config(Peer server, Peer discovery) throws Exception {
         ObjectNode config = Fixture.config().put("discovery", discovery.address());
-        config.set("known", Config.JSON.readTree(Fixture.list(41, true, Fixture.entry("s0", backend.address(), "ready"))));
+        config.set("known", Config.JSON.readTree(Fixture.list(41, true, Fixture.entry("s0", server.address(), "ready"))));
         return config;
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/WarmupTest.java
+++ b/proxy/src/test/java/walkpost/proxy/WarmupTest.java
@@ -11,34 +11,34 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The code that the first clients meet has run before, and nothing of that is left. */
+/** Tests that the proxy warms up before it listens, for a suitable time, and leaves no files behind. */
 class WarmupTest {
     @Test
-    void servesAsManyMadeUpRequestsAsItIsTold(@TempDir Path dir) throws Exception {
+    void servesTheGivenNumberOfRequests(@TempDir Path dir) throws Exception {
         var settings = Config.parse(Fixture.config()).settings();
-        long longMs = TimeUnit.MINUTES.toMillis(5);
-        assertThat(Warmup.run(settings, 50, dir, Warmup.CLIENTS, longMs, longMs)).isBetween(50, 50 + Warmup.CLIENTS);
+        long timeoutMs = TimeUnit.MINUTES.toMillis(5);
+        assertThat(Warmup.run(settings, 50, dir, Warmup.CLIENTS, timeoutMs, timeoutMs)).isBetween(50, 50 + Warmup.CLIENTS);
     }
 
-    /** Some hosts lead nobody to a socket in the file system: that costs the wait for the first answer, not for all. */
+    /** Some hosts do not connect Unix domain sockets. The warm-up then ends after the wait for the first answer. */
     @Test
     @Timeout(60)
-    void endsWhereNothingIsAnsweredInTime(@TempDir Path dir) throws Exception {
+    void endsEarlyIfNoRequestIsAnswered(@TempDir Path dir) throws Exception {
         var settings = Config.parse(Fixture.config()).settings();
         assertThat(Warmup.run(settings, 50, dir, 0, 1, TimeUnit.MINUTES.toMillis(5))).isZero();
     }
 
-    /** A tenth of a core takes in 25 requests a second while its code is cold; there are two proxies. */
+    /** A tenth of a core serves 25 requests a second while the code is cold, and there are two proxies. */
     @Test
-    void isTheLongerTheFurtherTheTrafficIsBeyondWhatColdCodeTakesIn() throws Exception {
-        assertThat(Warmup.requests(Config.parse(config(40)).settings(), 0.1)).isZero();
-        assertThat(Warmup.requests(Config.parse(config(51)).settings(), 0.1)).isBetween(40, 45);
-        assertThat(Warmup.requests(Config.parse(config(100)).settings(), 0.1)).isBetween(140, 150);
-        assertThat(Warmup.requests(Config.parse(config(8_000)).settings(), 0.1)).isEqualTo(Warmup.MOST_REQUESTS);
+    void requestCountGrowsWithTheLoad() throws Exception {
+        assertThat(Warmup.requestCount(Config.parse(config(40)).settings(), 0.1)).isZero();
+        assertThat(Warmup.requestCount(Config.parse(config(51)).settings(), 0.1)).isBetween(40, 45);
+        assertThat(Warmup.requestCount(Config.parse(config(100)).settings(), 0.1)).isBetween(140, 150);
+        assertThat(Warmup.requestCount(Config.parse(config(8_000)).settings(), 0.1)).isEqualTo(Warmup.MAX_REQUESTS);
     }
 
     @Test
-    void aProxyOfManyListensAtOnce(@TempDir Path dir) throws Exception {
+    void aProxyWithLittleTrafficListensWithoutAWarmup(@TempDir Path dir) throws Exception {
         try (var program = new Program(dir, Fixture.config())) {
             assertThat(program.line("warmed_up|listening")).contains(" serve listening proxy=n0 port=");
         }
@@ -50,14 +50,14 @@
         return config;
     }
 
-    /** The program as it is started: how it was warmed up comes first, and only then does it listen. */
+    /** A real process logs its warm-up and listens only after that. */
     @Test
-    void listensOnlyOnceItIsWarm(@TempDir Path dir) throws Exception {
+    void listensOnlyAfterTheWarmup(@TempDir Path dir) throws Exception {
         try (var program = new Program(dir, config(8_000))) {
             assertThat(program.line("warmed_up|listening|library")).matches(".* INFO serve warmed_up requests=[1-9]\\d*");
             assertThat(program.line("listening")).contains(" proxy=n0 ");
-            try (var left = Files.list(dir)) {
-                assertThat(left).containsExactly(dir.resolve("config.json"));
+            try (var filesLeft = Files.list(dir)) {
+                assertThat(filesLeft).containsExactly(dir.resolve("config.json"));
             }
         }
     }
