--- a/proxy/src/test/java/walkpost/proxy/ProxyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyTest.java
@@ -20,7 +20,7 @@
 
 /** Tests how balancer and sockets are connected, also for a balancer that misbehaves. */
 class ProxyTest {
-    /** Rule 1: guards against a balancer that never answers a request. The proxy then fails the request before its client gives up. */
+    /** Guards against a balancer that never answers a request: the proxy then fails the request before its client gives up. */
     @Test
     void answersInTimeIfTheBalancerNeverAnswers() throws Exception {
         try (var proxy = new Fixture((event, actions) -> { }); var client = proxy.client()) {
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Rule 2: whatever the balancer orders, no attempt is sent while another is in flight, after the request has been answered, or beyond
-     * the allowed number of attempts.
+     * Guards against duplicate execution: whatever the balancer orders, no attempt is sent while another is in flight, after the request
+     * has been answered, or beyond the allowed number of attempts.
      */
     @Test
     void sendsNoSecondCopyOfARequest() throws Exception {
--- a/proxy/src/test/java/walkpost/proxy/ServeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServeTest.java
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Rule 1 at a restart: accepted requests are answered, and new clients are served while the front still sends them here. */
+    /** Guards against lost requests at a restart: accepted requests are answered, and so are clients that the front still sends here. */
     @Test
     void answersAllAcceptedRequestsBeforeItEnds() throws Exception {
         var fetched = new AtomicBoolean();
