--- a/fleet/src/main/java/walkpost/fleet/Machine.java
+++ b/fleet/src/main/java/walkpost/fleet/Machine.java
@@ -3,19 +3,19 @@
 import java.util.function.Consumer;
 
 /**
- * A protocol as a pure state machine: events in, actions out. It has no clock, no thread, no I/O, and draws random numbers only
- * from a seed, so that equal events at equal times give equal actions, in a simulation as in a process.
+ * A protocol as a pure state machine that turns events into actions. It has no clock, no thread and no I/O, and takes random numbers
+ * only from a seeded generator, so that equal events at equal times give equal actions, in a simulation as in a process.
  *
- * <p>Actions are to be carried out in the order given. One owner calls it at a time.
+ * <p>The owner carries out the actions in the order given, and makes one call at a time.
  *
- * @param <E> what happens to it
- * @param <A> what is to be done
+ * @param <E> the type of the events
+ * @param <A> the type of the actions
  */
 public interface Machine<E, A> {
     /**
-     * Takes one event.
+     * Handles one event and passes the resulting actions to {@code actions}.
      *
-     * @param nowUs the owner's monotonic clock in microseconds, never before that of the event before
+     * @param nowUs the owner's monotonic clock in microseconds; never lower than in the call before
      */
     void handle(long nowUs, E event, Consumer<A> actions);
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Acting.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Acting.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What members act on for one key.
+ * The order in effect for one key: the state that members act on.
  *
- * @param payload JSON on one line, null for nothing
- * @param chosen the order that all copies choose; null where there never was one
- * @param rivals other decided orders that stand beside it until an operator settles them
+ * @param payload JSON on one line; null if nothing is in effect
+ * @param chosen the decided order that all replicas choose; null if the key has none
+ * @param rivals other decided orders for the key that conflict with the chosen one until an operator settles them
  */
 public record Acting(String payload, Order chosen, List<Order> rivals) {
     public Acting {
--- a/fleet/src/main/java/walkpost/fleet/copy/CatchUp.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/CatchUp.java
@@ -12,172 +12,179 @@
 import java.util.TreeMap;
 
 /**
- * The asking side of comparing: owns the rounds with others that are under way, and whom to ask next. Each period so many are asked
- * that a majority is heard well within the time of silence, twice as many while this member is not level.
+ * The requesting side of anti-entropy: owns the comparison rounds under way with other members, and decides which members to ask next.
+ * In each period it asks so many members that it has heard from a majority well within {@link CopySettings#silenceUs}, and twice as
+ * many while this member has not caught up.
  */
 final class CatchUp {
-    /** A round that has begun to fetch, but then got nothing for so long, is begun anew; one never answered is at once. */
-    private static final long PATIENCE_US = 3_000_000;
+    /** A round that has begun to fetch is restarted after this time without progress; a round never answered restarts at once. */
+    private static final long ROUND_TIMEOUT_US = 3_000_000;
 
+    /** One comparison with another member. */
     private static final class Round {
         private final long number;
-        private final BitSet parts = new BitSet();
-        private final Set<CopyMessage.SlotStamp> waiting = new HashSet<>();
-        private boolean listed;
-        private boolean moved;
-        private long movedUs;
+        private final BitSet partsReceived = new BitSet();
+        private final Set<CopyMessage.SlotStamp> missingSlots = new HashSet<>();
+        private boolean allPartsReceived;
+        private boolean answered;
+        private long progressAtUs;
 
         private Round(long number) {
             this.number = number;
         }
 
-        private void move(long nowUs) {
-            moved = true;
-            movedUs = nowUs;
+        private void recordProgress(long nowUs) {
+            answered = true;
+            progressAtUs = nowUs;
         }
     }
 
     private final CopySettings settings;
-    private final Neighbours neighbours;
-    private final Touch touch;
-    private final OrderBook book;
-    private final FactBook facts;
+    private final Neighbours peers;
+    private final Touch catchUpState;
+    private final OrderBook slotStore;
+    private final FactBook entryStore;
     private final Map<String, Round> rounds = new TreeMap<>();
-    private final Map<String, Long> asked = new TreeMap<>();
-    private Fetches fetches;
-    private long numbers;
-    private long askings;
+    /** The number of the latest request to each member: the lower, the longer ago. */
+    private final Map<String, Long> lastRequest = new TreeMap<>();
+    private Fetches fetchQueue;
+    private long roundCount;
+    private long requestCount;
     private long nextUs;
 
-    CatchUp(CopySettings settings, Neighbours neighbours, Touch touch, OrderBook book, FactBook facts) {
+    CatchUp(CopySettings settings, Neighbours peers, Touch catchUpState, OrderBook slotStore, FactBook entryStore) {
         this.settings = settings;
-        this.neighbours = neighbours;
-        this.touch = touch;
-        this.book = book;
-        this.facts = facts;
-        this.fetches = new Fetches(settings, 0);
+        this.peers = peers;
+        this.catchUpState = catchUpState;
+        this.slotStore = slotStore;
+        this.entryStore = entryStore;
+        this.fetchQueue = new Fetches(settings, 0);
     }
 
-    /** The shard begins, touch is lost, or the copy emptied: what is under way does not count. */
+    /** Discards all rounds and fetches when the shard starts, loses contact with the majority, or has emptied its replica. */
     void reset(long nowUs) {
         rounds.clear();
-        fetches = new Fetches(settings, nowUs);
+        fetchQueue = new Fetches(settings, nowUs);
         nextUs = nowUs;
     }
 
-    /** Time has passed. */
+    /** Starts the comparisons that are due, and sends the fetch requests that the rate allows. */
     void tick(long nowUs, Outbox out) {
         if (nowUs >= nextUs) {
-            // The draw keeps members that started together from asking together for ever.
-            nextUs = nowUs + settings.compareUs() - neighbours.draw(Math.max(1, settings.compareUs() / 8));
-            asked.keySet().removeIf(name -> !neighbours.alive(name));
-            // The last one is drawn from all, so that facts of members that are not configured are found as well.
-            List<String> drawn = neighbours.draw(1);
-            whom().stream().filter(name -> !drawn.contains(name)).forEach(name -> begin(nowUs, name, null, out));
-            drawn.forEach(name -> begin(nowUs, name, facts.tree().root(), out));
+            // The jitter keeps members that started together from comparing at the same moments for ever.
+            nextUs = nowUs + settings.compareUs() - peers.draw(Math.max(1, settings.compareUs() / 8));
+            lastRequest.keySet().removeIf(name -> !peers.alive(name));
+            // The last one is drawn from all living members, so that entries of members that are not configured are found as well.
+            List<String> drawn = peers.draw(1);
+            membersToAsk().stream().filter(name -> !drawn.contains(name)).forEach(name -> begin(nowUs, name, null, out));
+            drawn.forEach(name -> begin(nowUs, name, entryStore.tree().root(), out));
         }
-        fetches.ask(nowUs, out, (stamp, sources) -> sources.forEach(rounds::remove));
+        fetchQueue.ask(nowUs, out, (digest, sources) -> sources.forEach(rounds::remove));
     }
 
-    /** The nodes of another's trees have come. */
+    /** Receives the node hashes of another member's trees, and asks for the leaves below those that differ. */
     void nodes(long nowUs, String from, CopyMessage.Nodes nodes, Outbox out) {
         Round round = rounds.get(from);
         if (round == null || round.number != nodes.round()) {
             return;
         }
-        round.move(nowUs);
-        int[] slotNodes = differing(book.tree().nodes(), nodes.slots());
-        int[] factNodes = differing(facts.tree().nodes(), nodes.facts());
+        round.recordProgress(nowUs);
+        int[] slotNodes = differing(slotStore.tree().nodes(), nodes.slots());
+        int[] entryNodes = differing(entryStore.tree().nodes(), nodes.facts());
         if (slotNodes.length == 0) {
-            done(from, nowUs);
+            finish(from, nowUs);
         }
-        if (slotNodes.length + factNodes.length > 0) {
-            out.send(from, new CopyMessage.Leaves(round.number, slotNodes, leaves(book.tree(), slotNodes), factNodes,
-                    leaves(facts.tree(), factNodes)));
+        if (slotNodes.length + entryNodes.length > 0) {
+            out.send(from, new CopyMessage.Leaves(round.number, slotNodes, leaves(slotStore.tree(), slotNodes), entryNodes,
+                    leaves(entryStore.tree(), entryNodes)));
         }
     }
 
-    /** Which slots another has where the leaves differ. */
-    void slotStamps(long nowUs, String from, CopyMessage.SlotStamps stamps) {
+    /** Receives digests of another member's slots in the leaves that differ, and queues the fetch of those that differ here. */
+    void slotStamps(long nowUs, String from, CopyMessage.SlotStamps digests) {
         Round round = rounds.get(from);
-        if (round == null || round.number != stamps.round() || !Sizes.part(stamps.part(), stamps.parts())) {
+        if (round == null || round.number != digests.round() || !Sizes.part(digests.part(), digests.parts())) {
             return;
         }
-        round.move(nowUs);
-        for (CopyMessage.SlotStamp stamp : stamps.stamps()) {
-            Long mine = book.hash(stamp.key());
-            if (mine == null || mine != stamp.hash()) {
-                fetches.want(stamp, from);
-                round.waiting.add(stamp);
+        round.recordProgress(nowUs);
+        for (CopyMessage.SlotStamp digest : digests.stamps()) {
+            Long mine = slotStore.hash(digest.key());
+            if (mine == null || mine != digest.hash()) {
+                fetchQueue.want(digest, from);
+                round.missingSlots.add(digest);
             }
         }
-        round.parts.set(stamps.part());
-        round.listed = round.parts.cardinality() == stamps.parts();
-        if (round.listed && round.waiting.isEmpty()) {
-            done(from, nowUs);
+        round.partsReceived.set(digests.part());
+        round.allPartsReceived = round.partsReceived.cardinality() == digests.parts();
+        if (round.allPartsReceived && round.missingSlots.isEmpty()) {
+            finish(from, nowUs);
         }
     }
 
-    /** Which facts another has where the leaves differ. */
-    void factStamps(String from, CopyMessage.FactStamps stamps) {
-        stamps.stamps().stream().filter(facts::wants).forEach(stamp -> fetches.want(stamp, from));
+    /** Receives digests of another member's entries in the leaves that differ, and queues the fetch of those missing here. */
+    void factStamps(String from, CopyMessage.FactStamps digests) {
+        digests.stamps().stream().filter(entryStore::wants).forEach(digest -> fetchQueue.want(digest, from));
     }
 
-    /** A slot that was asked for has come and has been joined. */
+    /** Records that a fetched slot has arrived and has been merged. */
     void slot(long nowUs, String from, Order.Key key) {
-        fetches.got(key, from).forEach((stamp, sources) -> {
+        fetchQueue.got(key, from).forEach((digest, sources) -> {
             for (String source : sources) {
                 Round round = rounds.get(source);
-                if (round != null && round.waiting.remove(stamp)) {
-                    round.move(nowUs);
-                    if (round.listed && round.waiting.isEmpty()) {
-                        done(source, nowUs);
+                if (round != null && round.missingSlots.remove(digest)) {
+                    round.recordProgress(nowUs);
+                    if (round.allPartsReceived && round.missingSlots.isEmpty()) {
+                        finish(source, nowUs);
                     }
                 }
             }
         });
     }
 
-    /** A fact that was asked for has come. */
+    /** Records that a fetched entry has arrived. */
     void fact(Fact.Key key) {
-        fetches.got(key);
+        fetchQueue.got(key);
     }
 
+    /** Returns the number of slots and entries still to be fetched. */
     int waiting() {
-        return fetches.size();
+        return fetchQueue.size();
     }
 
-    private void done(String with, long nowUs) {
+    private void finish(String with, long nowUs) {
         rounds.remove(with);
-        touch.compared(with, nowUs);
+        catchUpState.compared(with, nowUs);
     }
 
-    private void begin(long nowUs, String name, Long factsRoot, Outbox out) {
-        asked.put(name, ++askings);
+    private void begin(long nowUs, String name, Long entriesRoot, Outbox out) {
+        lastRequest.put(name, ++requestCount);
         Round running = rounds.get(name);
-        if (running != null && running.moved && nowUs - running.movedUs < PATIENCE_US) {
+        if (running != null && running.answered && nowUs - running.progressAtUs < ROUND_TIMEOUT_US) {
             return;
         }
-        Round round = new Round(++numbers);
+        Round round = new Round(++roundCount);
         rounds.put(name, round);
-        out.send(name, new CopyMessage.Compare(round.number, touch.awayUs(nowUs), book.tree().root(), factsRoot));
+        out.send(name, new CopyMessage.Compare(round.number, catchUpState.awayUs(nowUs), slotStore.tree().root(), entriesRoot));
     }
 
-    /** Those asked longest ago, and some of those heard longest ago, so that a lost message does not look like silence. */
-    private Set<String> whom() {
-        List<String> configured = new ArrayList<>(neighbours.alive().stream().filter(neighbours::isConfigured).toList());
+    /**
+     * Returns the members to compare with now: those that were asked longest ago, and some that were heard from longest ago, so that
+     * a lost message is not mistaken for silence.
+     */
+    private Set<String> membersToAsk() {
+        List<String> candidates = new ArrayList<>(peers.alive().stream().filter(peers::isConfigured).toList());
         long periods = Math.max(1, settings.silenceUs() / settings.compareUs() - 1);
-        int count = (int) ((neighbours.othersNeeded() + periods - 1) / periods) * (touch.level() ? 1 : 2);
-        Set<String> whom = new LinkedHashSet<>();
-        configured.sort(Comparator.comparingLong(name -> asked.getOrDefault(name, 0L)));
-        configured.stream().limit(count).forEach(whom::add);
-        configured.sort(Comparator.comparingLong(touch::heardUs));
-        configured.stream().filter(name -> !whom.contains(name)).limit((count + 3) / 4).toList().forEach(whom::add);
-        return whom;
+        int count = (int) ((peers.othersNeeded() + periods - 1) / periods) * (catchUpState.level() ? 1 : 2);
+        Set<String> chosen = new LinkedHashSet<>();
+        candidates.sort(Comparator.comparingLong(name -> lastRequest.getOrDefault(name, 0L)));
+        candidates.stream().limit(count).forEach(chosen::add);
+        candidates.sort(Comparator.comparingLong(catchUpState::heardUs));
+        candidates.stream().filter(name -> !chosen.contains(name)).limit((count + 3) / 4).toList().forEach(chosen::add);
+        return chosen;
     }
 
     private static int[] differing(long[] mine, long[] theirs) {
-        // A tree found equal comes with no nodes; any other number than 16 is a message gone wrong, and tells nothing.
+        // An equal tree is sent without nodes. Any other number than 16 is a malformed message, from which nothing can be concluded.
         if (theirs.length != mine.length) {
             return new int[0];
         }
--- a/fleet/src/main/java/walkpost/fleet/copy/CopyAction.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/CopyAction.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import walkpost.fleet.FleetException;
 
-/** Something the owner of a {@link Shard} is to do, in the order given. */
+/** An action that the owner of a {@link Shard} carries out. The owner carries actions out in the order given. */
 public sealed interface CopyAction {
     /**
-     * Send a message to the same shard of a member; it may get lost. An owner that comes to it more than a second after the event
-     * that it came from, as it stood still, drops it: the ages of facts in it would be too low.
+     * Sends a message to the same shard of another member; the message may be lost. An owner that was suspended and gets to this action
+     * more than a second after the event that caused it drops the message, because the ages of the entries in it would be too low.
      */
     record Send(String to, CopyMessage message) implements CopyAction { }
 
     /**
-     * Put these slots on disk before anything that comes after this action; passed over without a directory. One that is
-     * {@link Slot#none() empty} takes its key off the disk. Promises need no disk: a member makes none until one that it may have
-     * made in an earlier life has run out.
+     * Writes these slots to disk before the owner carries out any later action; without a directory the owner skips it. A slot
+     * {@link Slot#none() without history} removes its key from the disk. Promises are not persisted: a restarted member makes none
+     * until any promise of its previous life has expired.
      */
     record Persist(List<Slot> slots) implements CopyAction {
         public Persist {
@@ -22,21 +22,21 @@
         }
     }
 
-    /** An order is acknowledged: a majority of the configured members holds it, decided. */
+    /** Reports that an order is decided and that a majority of the configured members holds it. */
     record Acknowledged(String id, Order order) implements CopyAction { }
 
-    /** An order has failed, with the reason for its caller. */
+    /** Reports that an order has failed, with the reason for its caller. */
     record Refused(String id, FleetException why) implements CopyAction { }
 
-    /** What stands for a key is this from now on, at this level member. */
+    /** Reports a change of the order in effect for a key. Emitted only while this member is caught up. */
     record Stands(Order.Key key, Acting acting) implements CopyAction { }
 
-    /** Another member's fact is new here; one withdrawn has a null payload. */
+    /** Reports a new entry of another member; its payload is null if the entry was withdrawn. */
     record Heard(Fact fact) implements CopyAction { }
 
-    /** This shard has caught up with a majority, or is not sure of it any more. */
+    /** Reports that this shard has caught up with a majority, or can no longer be sure of it. */
     record Level(boolean level) implements CopyAction { }
 
-    /** A fact has grown older than its topic's bound: what depends on it falls back. To be told in the log. */
+    /** Reports that an entry is older than its topic's bound, so that its users fall back. The owner logs it. */
     record Stale(Fact.Key key, long ageUs) implements CopyAction { }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/CopyEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/CopyEvent.java
@@ -3,49 +3,56 @@
 import java.util.List;
 import java.util.Map;
 
-/** Something that happened to a shard. */
+/** An event that the owner of a {@link Shard} hands to it. */
 public sealed interface CopyEvent {
-    /** Time has passed; comes some 20 times a second. A gap tells that the process stood still. */
+    /** Time has passed. Arrives about 20 times a second; a longer gap shows that the process was suspended. */
     record Tick() implements CopyEvent { }
 
-    /** Who lives, this member apart, and the round trip to each in microseconds (an upper bound; the period where unmeasured). */
+    /**
+     * The set of living members has changed.
+     *
+     * @param roundTripUs the living members except this one, with the round-trip time to each in microseconds: an upper bound, or the
+     *     comparison period where it has not been measured
+     */
     record Peers(Map<String, Long> roundTripUs) implements CopyEvent {
         public Peers {
             roundTripUs = Map.copyOf(roundTripUs);
         }
     }
 
-    /** A message has come from the same shard of a member. */
+    /** A message has arrived from the same shard of another member. */
     record Received(String from, CopyMessage message) implements CopyEvent { }
 
-    /** This member, the writer, has seen something; a null payload withdraws it. */
+    /** This member writes an entry of its own; a null payload withdraws the entry. */
     record Tell(String topic, String subject, String payload) implements CopyEvent { }
 
     /**
-     * An operator's order to this member. {@code replaces} is the id of what it is to replace, empty for the first on its key, null for
-     * whatever stands, rivals included.
+     * An operator gives an order to this member.
+     *
+     * @param replaces the id of the order to replace; empty for the first order on its key; null for whatever orders are in force,
+     *     rivals included
      */
     record Propose(Order.Key key, String id, String replaces, String payload) implements CopyEvent { }
 
     /**
-     * What the directory held at the start; comes first, or never.
+     * The owner restores the slots that the directory held at the start. This is the first event, if it arrives at all.
      *
-     * @param awayUs how long the directory was not in use, by the wall clock; zero where the owner does not know
+     * @param awayUs how long the directory was not in use, by the wall clock; zero if the owner does not know
      */
     record Restored(List<Slot> slots, long awayUs) implements CopyEvent {
         public Restored {
             slots = List.copyOf(slots);
         }
 
-        /** What the directory held, not long ago. */
+        /** Restores a directory that was in use until now. */
         public Restored(List<Slot> slots) {
             this(slots, 0);
         }
     }
 
     /**
-     * Decided orders that an observer of the fleet holds, and this copy perhaps does not: a part of them, or all where the voters lost
-     * theirs. They are joined, and count for no majority.
+     * An observer of the fleet offers decided orders that this replica may lack: some of its orders, or all of them if the voters lost
+     * theirs. The shard merges them; they do not count towards a majority.
      */
     record Offered(List<Slot> slots) implements CopyEvent {
         public Offered {
--- a/fleet/src/main/java/walkpost/fleet/copy/CopyMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/CopyMessage.java
@@ -6,8 +6,13 @@
 import java.util.Objects;
 
 /**
- * What one shard says to the same shard of another member. Unknown fields are passed over. Each stays below 32 KiB: what is longer is
- * sent in parts. Equality is of no use among those with arrays.
+ * A message from a shard to the same shard of another member, encoded as CBOR. The names of the record components are the names of the
+ * CBOR fields and must not change: {@code facts}, for example, holds entries. Receivers ignore unknown fields. A message stays below
+ * 32 KiB; longer content is sent in parts. {@code equals} does not work for messages that hold arrays.
+ *
+ * <p>An order takes these steps. (1) The coordinator proposes it to all configured members. (2) Each promises its slot's next version to
+ * the order, or declines. (3) With promises of a majority the coordinator decides the order. (4) It sends the decision to all members,
+ * which confirm that they store it. (5) With confirmations of a majority it acknowledges the order to the operator.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
@@ -27,14 +32,23 @@
     @JsonSubTypes.Type(value = CopyMessage.Slots.class, name = "s")
 })
 public sealed interface CopyMessage {
-    /** Facts, their ages counted to the sending. {@code fetched} where they were asked for: then they are no news to pass on. */
+    /**
+     * Carries entries, with their ages at the time of sending.
+     *
+     * @param fetched whether the receiver requested them; if so, it does not gossip them further
+     */
     record Facts(boolean fetched, List<Fact> facts) implements CopyMessage {
         public Facts {
             facts = List.copyOf(facts);
         }
     }
 
-    /** Step 1 of an order: the coordinator's round, counted up in its life, and its slot as the order found it. */
+    /**
+     * Proposes an order (step 1).
+     *
+     * @param round the coordinator's round, which increases within its life
+     * @param slot the coordinator's slot when it made the proposal
+     */
     record Propose(long round, Order order, Slot slot) implements CopyMessage {
         public Propose {
             Objects.requireNonNull(order, "order");
@@ -42,40 +56,56 @@
         }
     }
 
-    /** Step 2: its version is kept for this order. */
+    /** Promises the slot's next version to the order (step 2). */
     record Promised(long round, String id) implements CopyMessage { }
 
-    /** Step 2: no promise; {@code slot} where the answerer knows of what the coordinator does not, else null. */
+    /**
+     * Declines to make a promise (step 2).
+     *
+     * @param why the reason
+     * @param other the order that stands in the way, if any
+     * @param slot the sender's slot, if it holds orders that the coordinator lacks; else null
+     */
     record Declined(long round, String id, Reason why, String other, Slot slot) implements CopyMessage {
         public Declined {
             Objects.requireNonNull(why, "why");
         }
     }
 
-    /** The coordinator has given a round up for good: its promise is void. */
+    /** Releases the promise for a round that the coordinator has abandoned for good. */
     record Forget(long round, Order.Key key, long incarnation) implements CopyMessage {
         public Forget {
             Objects.requireNonNull(key, "key");
         }
     }
 
-    /** Step 4: the order is decided; here is the slot in which it stands, or stood. */
+    /** Tells that an order is decided, and asks the receiver to store the slot that holds it or its successor (step 4). */
     record Hold(long round, String id, Slot slot) implements CopyMessage {
         public Hold {
             Objects.requireNonNull(slot, "slot");
         }
     }
 
-    /** Step 4: it stands here, on disk where there is one. */
+    /** Confirms that the order is stored (step 4), on disk if the sender has a directory. */
     record Held(long round, String id) implements CopyMessage { }
 
     /**
-     * The roots of a copy, to be compared; {@code awayUs} is how long ago the sender last was level. The root of facts is null where
-     * they are not to be compared: of facts, which change all the time, some are always on their way.
+     * Starts a comparison with the root hashes of the sender's trees.
+     *
+     * @param awayUs the time since the sender was last caught up
+     * @param slots the root hash of the slots
+     * @param facts the root hash of the entries; null if they are not to be compared, because entries change all the time and some are
+     *     always still being gossiped
      */
     record Compare(long round, long awayUs, long slots, Long facts) implements CopyMessage { }
 
-    /** The nodes of those trees whose roots differ; empty where they do not. */
+    /**
+     * Answers a comparison with the node hashes of the trees whose roots differ.
+     *
+     * @param awayUs the time since the sender was last caught up
+     * @param slots the node hashes of the slots; empty if the roots are equal
+     * @param facts the node hashes of the entries; empty if the roots are equal
+     */
     record Nodes(long round, long awayUs, long[] slots, long[] facts) implements CopyMessage {
         public Nodes {
             Objects.requireNonNull(slots, "slots");
@@ -83,7 +113,7 @@
         }
     }
 
-    /** The asker's leaves below the nodes that differ, sixteen for each. */
+    /** Carries the requester's leaf hashes below the nodes that differ, 16 for each node. */
     record Leaves(long round, int[] slotNodes, long[] slots, int[] factNodes, long[] facts) implements CopyMessage {
         public Leaves {
             Objects.requireNonNull(slotNodes, "slotNodes");
@@ -93,21 +123,21 @@
         }
     }
 
-    /** The answerer's slots in leaves that differ; one of so many parts, as it has to be known that none is missing. */
+    /** Lists the sender's slots in the leaves that differ. The parts are counted so that the receiver knows when it has them all. */
     record SlotStamps(long round, int part, int parts, List<SlotStamp> stamps) implements CopyMessage {
         public SlotStamps {
             stamps = List.copyOf(stamps);
         }
     }
 
-    /** The answerer's facts in leaves that differ. */
+    /** Lists the sender's entries in the leaves that differ. */
     record FactStamps(long round, List<FactStamp> stamps) implements CopyMessage {
         public FactStamps {
             stamps = List.copyOf(stamps);
         }
     }
 
-    /** Asks for some slots and facts. */
+    /** Requests slots and entries by key. */
     record Want(List<Order.Key> slots, List<Fact.Key> facts) implements CopyMessage {
         public Want {
             slots = List.copyOf(slots);
@@ -115,34 +145,39 @@
         }
     }
 
-    /** Slots that were asked for; an empty one where there is none any more. */
+    /** Carries the requested slots; one without history if the sender no longer has the slot. */
     record Slots(long awayUs, List<Aged> slots) implements CopyMessage {
         public Slots {
             slots = List.copyOf(slots);
         }
     }
 
-    /** Which slot, and the hash of what it holds. */
+    /** The key of a slot and the hash of its content. */
     record SlotStamp(Order.Key key, long hash) {
         public SlotStamp {
             Objects.requireNonNull(key, "key");
         }
     }
 
-    /** Which fact, how new, and a hash of its payload. */
+    /** The key and version of an entry, and the hash of its payload. */
     record FactStamp(Fact.Key key, long incarnation, long version, long hash) {
         public FactStamp {
             Objects.requireNonNull(key, "key");
         }
     }
 
-    /** A slot and, where nothing stands in it, since when that has been known: removals are remembered for a time only. */
+    /**
+     * A slot and the age of its removal.
+     *
+     * @param removedUs how long the sender has known that nothing is in force in the slot, because removals are remembered for a limited
+     *     time only; zero if an order is in force
+     */
     record Aged(Slot slot, long removedUs) {
         public Aged {
             Objects.requireNonNull(slot, "slot");
         }
     }
 
-    /** Why a member makes no promise. */
+    /** The reason why a member declines to make a promise. */
     enum Reason { NOT_LEVEL, OVERTAKEN, BUSY, FULL }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Fact.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Fact.java
@@ -3,21 +3,22 @@
 import java.util.Objects;
 
 /**
- * An entry with one writer: the member it is about, or that saw it. Of two facts with one key the one with the higher (incarnation,
- * version) holds; should a faulty writer give two payloads one version, the greater payload does, everywhere.
+ * A replicated entry with one writer: the member that it is about, or that observed its content. Of two entries with the same key the one
+ * with the higher (incarnation, version) wins. If a faulty writer gives two payloads the same version, the greater payload wins on all
+ * members.
  *
- * @param incarnation the writer's, when it wrote
- * @param version counts up within an incarnation
- * @param payload JSON on one line; null where the fact is withdrawn
- * @param ageUs how long ago it was seen, by the monotonic clocks along its way: time held at each member, and the round trip of
- *     each hop as an upper bound of the way. Part of no comparison
+ * @param incarnation the writer's incarnation at the time of writing
+ * @param version increases within an incarnation
+ * @param payload JSON on one line; null if the entry is withdrawn
+ * @param ageUs the time since the writer observed the content: the time spent at each member on the way, by its monotonic clock, and
+ *     the round trip of each hop as an upper bound of its transit time. Not part of the order of versions
  */
 public record Fact(Key key, long incarnation, long version, String payload, long ageUs) {
     public Fact {
         Objects.requireNonNull(key, "key");
     }
 
-    /** What a fact is about, and who says so. */
+    /** The topic and subject of an entry, and the name of its writer. */
     public record Key(String topic, String subject, String writer) {
         public Key {
             Objects.requireNonNull(topic, "topic");
--- a/fleet/src/main/java/walkpost/fleet/copy/FactBook.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/FactBook.java
@@ -12,142 +12,146 @@
 import java.util.function.Consumer;
 import walkpost.fleet.member.Life;
 
-/** The facts of a shard: owns them, their ages, their tree of hashes, and this member's own versions. */
+/** The entries of a shard: owns them, their ages, their hash tree, and the versions of the entries that this member writes. */
 final class FactBook {
-    /** Figures above this are refused, so that a writer gone mad can't end its own counting, or that of its next life. */
+    /** Higher incarnations and versions are refused, so that a faulty writer cannot exhaust its own numbers or those of its next life. */
     static final long LIMIT = Long.MAX_VALUE - (1L << 32);
 
-    private static final Comparator<Fact> NEWER = Comparator.comparingLong(Fact::incarnation).thenComparingLong(Fact::version)
+    private static final Comparator<Fact> BY_VERSION = Comparator.comparingLong(Fact::incarnation).thenComparingLong(Fact::version)
             .thenComparing(Fact::payload, Comparator.nullsFirst(Comparator.naturalOrder()));
 
-    /** A fact and the time on this member's clock at which its writer saw it. */
-    private static final class Entry {
-        private final Fact fact;
-        private final long seenUs;
+    /** An entry and the time, on this member's clock, at which its writer observed the content. */
+    private static final class StoredEntry {
+        private final Fact entry;
+        private final long observedUs;
         private boolean stale;
 
-        private Entry(Fact fact, long seenUs) {
-            this.fact = fact;
-            this.seenUs = seenUs;
+        private StoredEntry(Fact entry, long observedUs) {
+            this.entry = entry;
+            this.observedUs = observedUs;
         }
     }
 
-    /** What is held of one writer. */
+    /** The incarnation of a writer and the keys of its entries. */
     private static final class Writer {
         private long incarnation;
         private final Set<Fact.Key> keys = new LinkedHashSet<>();
     }
 
-    /** When an entry is to be looked at; the number keeps equal times in order. */
-    private record Due(long atUs, long number, Entry entry) { }
+    /** The time at which the age of an entry is to be checked; the sequence number orders checks due at the same time. */
+    private record AgeCheck(long atUs, long sequence, StoredEntry stored) { }
 
     private final CopySettings settings;
-    private final Neighbours neighbours;
-    private final Figures figures;
+    private final Neighbours peers;
+    private final Figures counters;
     private final String self;
-    private final Consumer<Fact.Key> news;
-    private final Map<Fact.Key, Entry> entries = new LinkedHashMap<>();
+    private final Consumer<Fact.Key> onNewEntry;
+    private final Map<Fact.Key, StoredEntry> entries = new LinkedHashMap<>();
     private final Map<String, Writer> writers = new HashMap<>();
     private final HashTree<Fact.Key> tree = new HashTree<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>(Comparator.comparingLong(Due::atUs).thenComparingLong(Due::number));
+    private final PriorityQueue<AgeCheck> ageChecks =
+            new PriorityQueue<>(Comparator.comparingLong(AgeCheck::atUs).thenComparingLong(AgeCheck::sequence));
     private long incarnation;
     private long version;
-    private long dueNumber;
+    private long checkSequence;
 
-    /** Tells {@code news} of each key that is new here and has to be passed on. */
-    FactBook(CopySettings settings, Neighbours neighbours, Figures figures, Life self, Consumer<Fact.Key> news) {
+    /** Creates an empty store. {@code onNewEntry} receives the key of each entry that has to be gossiped. */
+    FactBook(CopySettings settings, Neighbours peers, Figures counters, Life self, Consumer<Fact.Key> onNewEntry) {
         this.settings = settings;
-        this.neighbours = neighbours;
-        this.figures = figures;
+        this.peers = peers;
+        this.counters = counters;
         this.self = self.name();
         this.incarnation = self.incarnation();
-        this.news = news;
+        this.onNewEntry = onNewEntry;
     }
 
-    /** Writes a fact of this member's own; returns its key, or null where it is too long and was refused. */
+    /** Writes an entry of this member and returns its key, or null if a part of it is too long, so that it is refused. */
     Fact.Key tell(long nowUs, String topic, String subject, String payload) {
         if (Sizes.utf8(topic) > Sizes.TOPIC || Sizes.utf8(subject) > Sizes.SUBJECT || Sizes.utf8(payload) > Sizes.FACT) {
-            figures.count("facts.too_long");
+            counters.count("facts.too_long");
             return null;
         }
         Fact.Key key = new Fact.Key(topic, subject, self);
         put(new Fact(key, incarnation, ++version, payload, 0), nowUs);
-        news.accept(key);
+        onNewEntry.accept(key);
         return key;
     }
 
     /**
-     * Takes a fact from another member, its age counted to now.
+     * Takes in an entry from another member, with its age at {@code nowUs}.
      *
-     * @param pass whether it is news, to be passed on, and not fetched
+     * @param gossip whether to gossip the entry further if it is new; false for a fetched entry
      */
-    void take(long nowUs, Fact fact, boolean pass, Outbox out) {
-        if (fact.incarnation() < 0 || fact.incarnation() > LIMIT || fact.version() < 0 || fact.version() > LIMIT || fact.ageUs() < 0
-                || fact.ageUs() > Touch.NEVER_US || Sizes.utf8(fact.payload()) > Sizes.FACT) {
-            figures.count("facts.refused");
+    void take(long nowUs, Fact entry, boolean gossip, Outbox out) {
+        if (entry.incarnation() < 0 || entry.incarnation() > LIMIT || entry.version() < 0 || entry.version() > LIMIT || entry.ageUs() < 0
+                || entry.ageUs() > Touch.NEVER_US || Sizes.utf8(entry.payload()) > Sizes.FACT) {
+            counters.count("facts.refused");
             return;
         }
-        if (fact.key().writer().equals(self)) {
-            answer(nowUs, fact);
+        if (entry.key().writer().equals(self)) {
+            correctOwnEntry(nowUs, entry);
             return;
         }
-        if (!newer(fact)) {
-            figures.count("facts.known");
+        if (!isNewer(entry)) {
+            counters.count("facts.known");
             return;
         }
-        Writer writer = writers.get(fact.key().writer());
-        if (writer != null && fact.incarnation() < writer.incarnation || over(fact)) {
-            figures.count("facts.over");
+        Writer writer = writers.get(entry.key().writer());
+        if (writer != null && entry.incarnation() < writer.incarnation || isExpired(entry)) {
+            counters.count("facts.over");
             return;
         }
-        if (writer != null && fact.incarnation() > writer.incarnation) {
-            endFormerLife(nowUs, writer, fact.key(), out);
+        if (writer != null && entry.incarnation() > writer.incarnation) {
+            withdrawFormerLife(nowUs, writer, entry.key(), out);
         }
-        put(fact, nowUs - fact.ageUs());
-        out.tell(new CopyAction.Heard(fact));
-        figures.count("facts.heard");
-        if (pass) {
-            news.accept(fact.key());
+        put(entry, nowUs - entry.ageUs());
+        out.tell(new CopyAction.Heard(entry));
+        counters.count("facts.heard");
+        if (gossip) {
+            onNewEntry.accept(entry.key());
         }
     }
 
-    /** Tells what has grown older than its bound, and drops what ended: withdrawn, or its writer gone, twice the bound ago. */
+    /**
+     * Reports entries that have become stale, and removes entries that are older than twice their bound and either withdrawn or without
+     * a living writer.
+     */
     void due(long nowUs, Outbox out) {
-        while (!dues.isEmpty() && dues.peek().atUs() <= nowUs) {
-            Entry entry = dues.poll().entry();
-            Fact.Key key = entry.fact.key();
-            if (entries.get(key) != entry) {
+        while (!ageChecks.isEmpty() && ageChecks.peek().atUs() <= nowUs) {
+            StoredEntry stored = ageChecks.poll().stored();
+            Fact.Key key = stored.entry.key();
+            if (entries.get(key) != stored) {
                 continue;
             }
-            long bound = settings.bound(key.topic());
-            long age = nowUs - entry.seenUs;
-            if (!entry.stale) {
-                entry.stale = true;
-                if (entry.fact.payload() != null && !key.writer().equals(self)) {
-                    out.tell(new CopyAction.Stale(key, age));
-                    figures.count("facts.stale");
+            long boundUs = settings.bound(key.topic());
+            long ageUs = nowUs - stored.observedUs;
+            if (!stored.stale) {
+                stored.stale = true;
+                if (stored.entry.payload() != null && !key.writer().equals(self)) {
+                    out.tell(new CopyAction.Stale(key, ageUs));
+                    counters.count("facts.stale");
                 }
             }
-            if (age > 2 * bound && over(counted(entry, nowUs))) {
+            if (ageUs > 2 * boundUs && isExpired(withCurrentAge(stored, nowUs))) {
                 remove(key);
             } else {
-                lookAt(entry, age <= 2 * bound ? entry.seenUs + 2 * bound + 1 : nowUs + bound);
+                scheduleCheck(stored, ageUs <= 2 * boundUs ? stored.observedUs + 2 * boundUs + 1 : nowUs + boundUs);
             }
         }
     }
 
-    /** Returns a fact with its age counted to now, or null. */
+    /** Returns the entry of a key with its age at {@code nowUs}, or null if there is none. */
     Fact get(Fact.Key key, long nowUs) {
-        Entry entry = entries.get(key);
-        return entry == null ? null : counted(entry, nowUs);
+        StoredEntry stored = entries.get(key);
+        return stored == null ? null : withCurrentAge(stored, nowUs);
     }
 
-    /** Returns the facts on a topic, their ages counted to now. */
+    /** Returns the entries of a topic that are not withdrawn, with their ages at {@code nowUs}. */
     List<Fact> facts(String topic, long nowUs) {
         List<Fact> found = new ArrayList<>();
-        entries.forEach((key, entry) -> {
-            if (key.topic().equals(topic) && entry.fact.payload() != null) {
-                found.add(counted(entry, nowUs));
+        entries.forEach((key, stored) -> {
+            if (key.topic().equals(topic) && stored.entry.payload() != null) {
+                found.add(withCurrentAge(stored, nowUs));
             }
         });
         return found;
@@ -157,23 +161,23 @@
         return tree;
     }
 
-    /** Returns how new a fact is, for others to compare, or null. */
+    /** Returns the digest of the entry of a key, for comparison by other members, or null if there is none. */
     CopyMessage.FactStamp stamp(Fact.Key key) {
-        Entry entry = entries.get(key);
-        return entry == null ? null
-                : new CopyMessage.FactStamp(key, entry.fact.incarnation(), entry.fact.version(), Shards.hash(entry.fact.payload()));
+        StoredEntry stored = entries.get(key);
+        return stored == null ? null
+                : new CopyMessage.FactStamp(key, stored.entry.incarnation(), stored.entry.version(), Shards.hash(stored.entry.payload()));
     }
 
-    /** Returns whether another member holds something newer than this one, or something else of the same version. */
-    boolean wants(CopyMessage.FactStamp stamp) {
-        CopyMessage.FactStamp mine = stamp(stamp.key());
+    /** Returns whether the entry that another member holds is newer than the one here, or differs from it under the same version. */
+    boolean wants(CopyMessage.FactStamp theirs) {
+        CopyMessage.FactStamp mine = stamp(theirs.key());
         if (mine == null) {
-            Writer writer = writers.get(stamp.key().writer());
-            return writer == null || stamp.incarnation() >= writer.incarnation;
+            Writer writer = writers.get(theirs.key().writer());
+            return writer == null || theirs.incarnation() >= writer.incarnation;
         }
         int order = Comparator.comparingLong(CopyMessage.FactStamp::incarnation).thenComparingLong(CopyMessage.FactStamp::version)
-                .compare(stamp, mine);
-        return order > 0 || order == 0 && stamp.hash() != mine.hash();
+                .compare(theirs, mine);
+        return order > 0 || order == 0 && theirs.hash() != mine.hash();
     }
 
     int size() {
@@ -181,70 +185,72 @@
     }
 
     /**
-     * This member's own fact, as others have it: a former life's, or one that was never written. Whoever writes has the last word. What
-     * is withdrawn needs no answer, but one of a higher incarnation has to be outdone: those who hold it refuse all of this life's.
+     * Corrects an entry under this member's name that another member holds and this member did not write in this life: the entry stems
+     * from a former life, or was never written. The writer has the last word, so this member writes a newer version. A withdrawn entry
+     * that is unknown here needs no correction. An entry of a higher incarnation always does: this member raises its incarnation above
+     * it and writes all its entries again, because members that hold such an entry refuse all entries of a lower incarnation.
      */
-    private void answer(long nowUs, Fact heard) {
-        Entry mine = entries.get(heard.key());
-        boolean known = mine == null ? heard.payload() == null : NEWER.compare(mine.fact, heard) >= 0;
-        boolean outdone = heard.incarnation() > incarnation;
-        if (known && !outdone) {
+    private void correctOwnEntry(long nowUs, Fact received) {
+        StoredEntry mine = entries.get(received.key());
+        boolean known = mine == null ? received.payload() == null : BY_VERSION.compare(mine.entry, received) >= 0;
+        boolean higherIncarnation = received.incarnation() > incarnation;
+        if (known && !higherIncarnation) {
             return;
         }
-        figures.count("facts.answered");
-        if (outdone) {
-            incarnation = heard.incarnation() + 1;
-            List.copyOf(entries.values()).stream().filter(entry -> entry.fact.key().writer().equals(self)).forEach(entry -> {
-                put(new Fact(entry.fact.key(), incarnation, ++version, entry.fact.payload(), 0), entry.seenUs);
-                news.accept(entry.fact.key());
+        counters.count("facts.answered");
+        if (higherIncarnation) {
+            incarnation = received.incarnation() + 1;
+            List.copyOf(entries.values()).stream().filter(stored -> stored.entry.key().writer().equals(self)).forEach(stored -> {
+                put(new Fact(stored.entry.key(), incarnation, ++version, stored.entry.payload(), 0), stored.observedUs);
+                onNewEntry.accept(stored.entry.key());
             });
         }
         if (known) {
             return;
         }
-        if (heard.incarnation() == incarnation) {
-            version = Math.max(version, heard.version());
+        if (received.incarnation() == incarnation) {
+            version = Math.max(version, received.version());
         }
         if (version >= LIMIT) {
             incarnation++;
             version = 0;
         }
-        put(new Fact(heard.key(), incarnation, ++version, mine == null ? null : mine.fact.payload(), 0),
-                mine == null ? nowUs : mine.seenUs);
-        news.accept(heard.key());
+        put(new Fact(received.key(), incarnation, ++version, mine == null ? null : mine.entry.payload(), 0),
+                mine == null ? nowUs : mine.observedUs);
+        onNewEntry.accept(received.key());
     }
 
-    /** The writer has a new life: what it said in the one before is withdrawn. */
-    private void endFormerLife(long nowUs, Writer writer, Fact.Key but, Outbox out) {
+    /** Withdraws all entries of a writer's former life, because the writer has a new incarnation. */
+    private void withdrawFormerLife(long nowUs, Writer writer, Fact.Key rewritten, Outbox out) {
         for (Fact.Key key : List.copyOf(writer.keys)) {
             Fact former = get(key, nowUs);
             remove(key);
-            if (!key.equals(but) && former.payload() != null) {
+            if (!key.equals(rewritten) && former.payload() != null) {
                 out.tell(new CopyAction.Heard(new Fact(key, former.incarnation(), former.version(), null, former.ageUs())));
             }
         }
     }
 
-    private boolean newer(Fact fact) {
-        Entry mine = entries.get(fact.key());
-        return mine == null || NEWER.compare(fact, mine.fact) > 0;
+    private boolean isNewer(Fact entry) {
+        StoredEntry mine = entries.get(entry.key());
+        return mine == null || BY_VERSION.compare(entry, mine.entry) > 0;
     }
 
-    /** Whether a fact has ended for good: twice its bound old, and withdrawn or without a writer. */
-    private boolean over(Fact fact) {
-        return fact.ageUs() > 2 * settings.bound(fact.key().topic())
-                && (fact.payload() == null || !neighbours.alive(fact.key().writer()));
+    /** Returns whether an entry is older than twice its bound, and is withdrawn or has no living writer. */
+    private boolean isExpired(Fact entry) {
+        return entry.ageUs() > 2 * settings.bound(entry.key().topic())
+                && (entry.payload() == null || !peers.alive(entry.key().writer()));
     }
 
-    private void put(Fact fact, long seenUs) {
-        Entry entry = new Entry(fact, seenUs);
-        entries.put(fact.key(), entry);
-        tree.put(fact.key(), keyHash(fact.key()),
-                Shards.hash(Long.toString(fact.incarnation()), Long.toString(fact.version()), fact.payload()));
-        Writer writer = writers.computeIfAbsent(fact.key().writer(), name -> new Writer());
-        writer.incarnation = fact.incarnation();
-        writer.keys.add(fact.key());
-        lookAt(entry, seenUs + settings.bound(fact.key().topic()) + 1);
+    private void put(Fact entry, long observedUs) {
+        StoredEntry stored = new StoredEntry(entry, observedUs);
+        entries.put(entry.key(), stored);
+        tree.put(entry.key(), keyHash(entry.key()),
+                Shards.hash(Long.toString(entry.incarnation()), Long.toString(entry.version()), entry.payload()));
+        Writer writer = writers.computeIfAbsent(entry.key().writer(), name -> new Writer());
+        writer.incarnation = entry.incarnation();
+        writer.keys.add(entry.key());
+        scheduleCheck(stored, observedUs + settings.bound(entry.key().topic()) + 1);
     }
 
     private void remove(Fact.Key key) {
@@ -257,13 +263,13 @@
         }
     }
 
-    private void lookAt(Entry entry, long atUs) {
-        dues.add(new Due(atUs, ++dueNumber, entry));
+    private void scheduleCheck(StoredEntry stored, long atUs) {
+        ageChecks.add(new AgeCheck(atUs, ++checkSequence, stored));
     }
 
-    private static Fact counted(Entry entry, long nowUs) {
-        Fact fact = entry.fact;
-        return new Fact(fact.key(), fact.incarnation(), fact.version(), fact.payload(), Math.max(nowUs - entry.seenUs, 0));
+    private static Fact withCurrentAge(StoredEntry stored, long nowUs) {
+        Fact entry = stored.entry;
+        return new Fact(entry.key(), entry.incarnation(), entry.version(), entry.payload(), Math.max(nowUs - stored.observedUs, 0));
     }
 
     private static long keyHash(Fact.Key key) {
--- a/fleet/src/main/java/walkpost/fleet/copy/Fetches.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Fetches.java
@@ -10,143 +10,155 @@
 import java.util.function.BiConsumer;
 
 /**
- * What of other members' copies is still to be fetched, from whom, and how fast; owns the queue. What several members hold alike is
- * asked of each in turn, so that none carries it all and one that does not answer holds nothing up.
+ * The slots and entries still to be fetched from other members, with the members that have them; sends requests at a limited rate.
+ * Content that several members have in common is requested from them in turn, so that no member serves all requests and one that does
+ * not answer blocks none.
  */
 final class Fetches {
-    private static final long AGAIN_US = 1_000_000;
-    private static final int TRIES = 6;
-    private static final int AT_ONCE = 64;
+    private static final long RETRY_INTERVAL_US = 1_000_000;
+    private static final int MAX_TRIES = 6;
+    private static final int MAX_KEYS_PER_REQUEST = 64;
 
-    /** One content of one key, and who has it. */
+    /** One version of the content of a key, and the members that have it. */
     private static final class Fetch {
-        private final Object content;
+        private final Object digest;
         private final Set<String> sources = new LinkedHashSet<>();
         private int tries;
-        private long askedUs;
+        private long requestedUs;
 
-        private Fetch(Object content) {
-            this.content = content;
+        private Fetch(Object digest) {
+            this.digest = digest;
         }
     }
 
     private final CopySettings settings;
     private final Map<CopyMessage.SlotStamp, Fetch> slots = new LinkedHashMap<>();
-    private final Map<Order.Key, Set<CopyMessage.SlotStamp>> byKey = new LinkedHashMap<>();
-    private final Map<Fact.Key, Fetch> facts = new LinkedHashMap<>();
+    private final Map<Order.Key, Set<CopyMessage.SlotStamp>> slotsByKey = new LinkedHashMap<>();
+    private final Map<Fact.Key, Fetch> entries = new LinkedHashMap<>();
     private double tokens;
-    private long filledUs;
+    private long refilledUs;
 
     Fetches(CopySettings settings, long nowUs) {
         this.settings = settings;
-        this.filledUs = nowUs;
+        this.refilledUs = nowUs;
     }
 
-    void want(CopyMessage.SlotStamp stamp, String from) {
-        slots.computeIfAbsent(stamp, Fetch::new).sources.add(from);
-        byKey.computeIfAbsent(stamp.key(), key -> new LinkedHashSet<>()).add(stamp);
+    /** Queues the fetch of a slot that {@code from} has. */
+    void want(CopyMessage.SlotStamp digest, String from) {
+        slots.computeIfAbsent(digest, Fetch::new).sources.add(from);
+        slotsByKey.computeIfAbsent(digest.key(), key -> new LinkedHashSet<>()).add(digest);
     }
 
-    void want(CopyMessage.FactStamp stamp, String from) {
-        Fetch fetch = facts.get(stamp.key());
-        if (fetch == null || newer(stamp, (CopyMessage.FactStamp) fetch.content)) {
-            fetch = new Fetch(stamp);
-            facts.put(stamp.key(), fetch);
+    /** Queues the fetch of an entry that {@code from} has, unless the fetch of a newer version is queued. */
+    void want(CopyMessage.FactStamp digest, String from) {
+        Fetch fetch = entries.get(digest.key());
+        if (fetch == null || isNewer(digest, (CopyMessage.FactStamp) fetch.digest)) {
+            fetch = new Fetch(digest);
+            entries.put(digest.key(), fetch);
         }
-        if (fetch.content.equals(stamp)) {
+        if (fetch.digest.equals(digest)) {
             fetch.sources.add(from);
         }
     }
 
-    /** A slot has come from a member that had, or now has more than, these contents; they are wanted no longer. Returns their sources. */
+    /**
+     * Records that a slot has arrived from a member, and removes all queued versions of the slot that this member had: the slot received
+     * equals them or includes them. Returns the removed versions with their sources.
+     */
     Map<CopyMessage.SlotStamp, Set<String>> got(Order.Key key, String from) {
         Map<CopyMessage.SlotStamp, Set<String>> done = new LinkedHashMap<>();
-        for (CopyMessage.SlotStamp stamp : List.copyOf(byKey.getOrDefault(key, Set.of()))) {
-            if (slots.get(stamp).sources.contains(from)) {
-                done.put(stamp, slots.get(stamp).sources);
-                drop(stamp);
+        for (CopyMessage.SlotStamp digest : List.copyOf(slotsByKey.getOrDefault(key, Set.of()))) {
+            if (slots.get(digest).sources.contains(from)) {
+                done.put(digest, slots.get(digest).sources);
+                remove(digest);
             }
         }
         return done;
     }
 
-    /** A fact has come, however old: what was to be fetched of it is asked for anew if it still differs. */
+    /** Records that an entry has arrived, of whichever version: if it still differs, the next comparison queues it again. */
     void got(Fact.Key key) {
-        facts.remove(key);
+        entries.remove(key);
     }
 
-    /** Asks for as much as the rate allows. Tells of contents that nobody gives, after some tries, and drops them. */
-    void ask(long nowUs, Outbox out, BiConsumer<CopyMessage.SlotStamp, Set<String>> given) {
-        // What is saved up in a quiet time is no more than a tenth of a second's worth, or nothing would be smoothed.
-        double most = Math.max(1, settings.fetchPerSecond() / 10.0);
-        tokens = Math.min(most, tokens + settings.fetchPerSecond() * (nowUs - filledUs) / 1e6);
-        filledUs = nowUs;
-        Map<String, List<Order.Key>> slotsOf = new TreeMap<>();
+    /**
+     * Sends as many requests as the rate allows. Removes fetches that no source has answered after {@link #MAX_TRIES}, and passes the
+     * slots among them to {@code abandoned} with their sources.
+     */
+    void ask(long nowUs, Outbox out, BiConsumer<CopyMessage.SlotStamp, Set<String>> abandoned) {
+        // The burst is limited to the tokens of a tenth of a second, because a larger one would defeat the rate limit.
+        double burst = Math.max(1, settings.fetchPerSecond() / 10.0);
+        tokens = Math.min(burst, tokens + settings.fetchPerSecond() * (nowUs - refilledUs) / 1e6);
+        refilledUs = nowUs;
+        Map<String, List<Order.Key>> slotsBySource = new TreeMap<>();
         for (Map.Entry<CopyMessage.SlotStamp, Fetch> each : List.copyOf(slots.entrySet())) {
             if (tokens < 1) {
                 break;
             }
-            String from = next(each.getValue(), nowUs);
-            if (from != null) {
-                slotsOf.computeIfAbsent(from, name -> new ArrayList<>()).add(each.getKey().key());
-            } else if (each.getValue().tries > TRIES) {
-                drop(each.getKey());
-                given.accept(each.getKey(), each.getValue().sources);
+            String source = nextSource(each.getValue(), nowUs);
+            if (source != null) {
+                slotsBySource.computeIfAbsent(source, name -> new ArrayList<>()).add(each.getKey().key());
+            } else if (each.getValue().tries > MAX_TRIES) {
+                remove(each.getKey());
+                abandoned.accept(each.getKey(), each.getValue().sources);
             }
         }
-        Map<String, List<Fact.Key>> factsOf = new TreeMap<>();
-        for (Map.Entry<Fact.Key, Fetch> each : List.copyOf(facts.entrySet())) {
+        Map<String, List<Fact.Key>> entriesBySource = new TreeMap<>();
+        for (Map.Entry<Fact.Key, Fetch> each : List.copyOf(entries.entrySet())) {
             if (tokens < 1) {
                 break;
             }
-            String from = next(each.getValue(), nowUs);
-            if (from != null) {
-                factsOf.computeIfAbsent(from, name -> new ArrayList<>()).add(each.getKey());
-            } else if (each.getValue().tries > TRIES) {
-                facts.remove(each.getKey());
+            String source = nextSource(each.getValue(), nowUs);
+            if (source != null) {
+                entriesBySource.computeIfAbsent(source, name -> new ArrayList<>()).add(each.getKey());
+            } else if (each.getValue().tries > MAX_TRIES) {
+                entries.remove(each.getKey());
             }
         }
-        slotsOf.forEach((from, keys) -> cut(keys).forEach(part -> out.send(from, new CopyMessage.Want(part, List.of()))));
-        factsOf.forEach((from, keys) -> cut(keys).forEach(part -> out.send(from, new CopyMessage.Want(List.of(), part))));
+        slotsBySource.forEach((source, keys) ->
+                split(keys).forEach(part -> out.send(source, new CopyMessage.Want(part, List.of()))));
+        entriesBySource.forEach((source, keys) ->
+                split(keys).forEach(part -> out.send(source, new CopyMessage.Want(List.of(), part))));
     }
 
+    /** Returns the number of queued fetches. */
     int size() {
-        return slots.size() + facts.size();
+        return slots.size() + entries.size();
     }
 
-    /** Whom to ask now, or null: it has been asked a moment ago, or too often. */
-    private String next(Fetch fetch, long nowUs) {
-        if (fetch.tries > 0 && nowUs - fetch.askedUs < AGAIN_US) {
+    /** Returns the member to request from now, or null if the last request is too recent or all tries are used up. */
+    private String nextSource(Fetch fetch, long nowUs) {
+        if (fetch.tries > 0 && nowUs - fetch.requestedUs < RETRY_INTERVAL_US) {
             return null;
         }
-        if (++fetch.tries > TRIES) {
+        if (++fetch.tries > MAX_TRIES) {
             return null;
         }
-        fetch.askedUs = nowUs;
+        fetch.requestedUs = nowUs;
         tokens--;
-        // Which source comes first differs from key to key.
+        // The hash makes the first source differ from key to key.
         List<String> sources = List.copyOf(fetch.sources);
-        return sources.get(Math.floorMod(fetch.content.hashCode() + fetch.tries, sources.size()));
+        return sources.get(Math.floorMod(fetch.digest.hashCode() + fetch.tries, sources.size()));
     }
 
-    private void drop(CopyMessage.SlotStamp stamp) {
-        slots.remove(stamp);
-        Set<CopyMessage.SlotStamp> ofKey = byKey.get(stamp.key());
-        ofKey.remove(stamp);
-        if (ofKey.isEmpty()) {
-            byKey.remove(stamp.key());
+    private void remove(CopyMessage.SlotStamp digest) {
+        slots.remove(digest);
+        Set<CopyMessage.SlotStamp> sameKey = slotsByKey.get(digest.key());
+        sameKey.remove(digest);
+        if (sameKey.isEmpty()) {
+            slotsByKey.remove(digest.key());
         }
     }
 
-    private static boolean newer(CopyMessage.FactStamp one, CopyMessage.FactStamp other) {
+    private static boolean isNewer(CopyMessage.FactStamp one, CopyMessage.FactStamp other) {
         return one.incarnation() > other.incarnation()
                 || one.incarnation() == other.incarnation() && one.version() >= other.version() && !one.equals(other);
     }
 
-    private static <T> List<List<T>> cut(List<T> all) {
+    private static <T> List<List<T>> split(List<T> keys) {
         List<List<T>> parts = new ArrayList<>();
-        for (int from = 0; from < all.size(); from += AT_ONCE) {
-            parts.add(all.subList(from, Math.min(from + AT_ONCE, all.size())));
+        for (int from = 0; from < keys.size(); from += MAX_KEYS_PER_REQUEST) {
+            parts.add(keys.subList(from, Math.min(from + MAX_KEYS_PER_REQUEST, keys.size())));
         }
         return parts;
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/Figures.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Figures.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts of what a shard saw, by name; owned by the shard. */
+/** The event counters of a shard, by name. Not thread-safe: the shard owns them. */
 final class Figures {
     private final Map<String, Long> counts = new TreeMap<>();
 
@@ -11,7 +11,7 @@
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Returns all counts so far; a copy. */
+    /** Returns a copy of all counters. */
     Map<String, Long> all() {
         return new TreeMap<>(counts);
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/HashTree.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/HashTree.java
@@ -6,11 +6,15 @@
 import java.util.Map;
 
 /**
- * Hashes of a set of entries: a root over 16 nodes of 16 leaves each, as in Dynamo's anti-entropy (DeCandia et al. 2007, 4.7). It is
- * kept up with each change: a leaf's hash is the exclusive or of its entries', so that order does not matter, and a node's that of
- * its leaves'. Owns the hashes of entries.
+ * A hash tree over a set of keys and contents, with a root over 16 nodes of 16 leaves each, for anti-entropy as in Dynamo (DeCandia et
+ * al. 2007, section 4.7). Each change updates the tree at once: the hash of a leaf is the exclusive or of the hashes of its contents, so
+ * that the order of changes does not matter, and the hashes of the nodes and the root are the exclusive or of the mixed hashes of the
+ * leaves below them. Not thread-safe.
+ *
+ * @param <K> the type of the keys
  */
 public final class HashTree<K> {
+    /** The number of nodes below the root, and of leaves below each node. */
     public static final int WIDTH = 16;
 
     private final List<Map<K, Long>> leaves = new ArrayList<>();
@@ -22,22 +26,22 @@
         }
     }
 
-    /** Puts an entry in, or its new content. Keys' upper bits choose the leaf, as the lower ones have chosen the shard. */
-    public void put(K key, long keyHash, long content) {
+    /** Adds a key or updates its content. The upper bits of the key's hash select the leaf, because the lower bits select the shard. */
+    public void put(K key, long keyHash, long contentHash) {
         int leaf = (int) (keyHash >>> 56);
-        long hash = entry(keyHash, content);
-        Long before = leaves.get(leaf).put(key, hash);
-        hashes[leaf] ^= hash ^ (before == null ? 0 : before);
+        long hash = entry(keyHash, contentHash);
+        Long previous = leaves.get(leaf).put(key, hash);
+        hashes[leaf] ^= hash ^ (previous == null ? 0 : previous);
     }
 
-    /** Takes an entry out, if it is there. */
+    /** Removes a key, if it is present. */
     public void remove(K key, long keyHash) {
         int leaf = (int) (keyHash >>> 56);
-        Long before = leaves.get(leaf).remove(key);
-        hashes[leaf] ^= before == null ? 0 : before;
+        Long previous = leaves.get(leaf).remove(key);
+        hashes[leaf] ^= previous == null ? 0 : previous;
     }
 
-    /** Returns the hash of everything. */
+    /** Returns the hash of the whole tree. */
     public long root() {
         long root = 0;
         for (int leaf = 0; leaf < hashes.length; leaf++) {
@@ -57,26 +61,26 @@
 
     /** Returns the hashes of a node's 16 leaves. */
     public long[] leaves(int node) {
-        long[] under = new long[WIDTH];
-        System.arraycopy(hashes, node * WIDTH, under, 0, WIDTH);
-        return under;
+        long[] leafHashes = new long[WIDTH];
+        System.arraycopy(hashes, node * WIDTH, leafHashes, 0, WIDTH);
+        return leafHashes;
     }
 
-    /** Returns a leaf's entries with their hashes; a view. */
+    /** Returns a view of the keys of a leaf with their hashes. */
     public Map<K, Long> entries(int leaf) {
         return leaves.get(leaf);
     }
 
-    /** Returns the hash of an entry, or null where there is none. */
+    /** Returns the hash of a key and its content, or null if the key is not present. */
     public Long hash(K key, long keyHash) {
         return leaves.get((int) (keyHash >>> 56)).get(key);
     }
 
-    static long entry(long keyHash, long content) {
-        return mix(keyHash ^ mix(content));
+    static long entry(long keyHash, long contentHash) {
+        return mix(keyHash ^ mix(contentHash));
     }
 
-    /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014). */
+    /** Mixes the bits of a hash with the finalizer of SplitMix64 (Steele, Lea, Flood 2014). */
     private static long mix(long bits) {
         long z = (bits ^ bits >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
--- a/fleet/src/main/java/walkpost/fleet/copy/Neighbours.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Neighbours.java
@@ -10,13 +10,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Who lives besides this member, as membership says, and who is configured; owns the shard's random numbers. */
+/**
+ * The other members that a shard can talk to: the living ones, as membership reports them, and the configured ones, whose majority
+ * decides. Owns the shard's random number generator.
+ */
 final class Neighbours {
     private final String self;
     private final Set<String> configured;
     private final long unmeasuredUs;
     private final UniformRandomProvider random;
-    private final Map<String, Long> roundTrips = new TreeMap<>();
+    private final Map<String, Long> roundTripsUs = new TreeMap<>();
 
     Neighbours(String self, Set<String> configured, long unmeasuredUs, long seed) {
         this.self = self;
@@ -25,17 +28,18 @@
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
+    /** Replaces the set of living members and the round-trip times to them. */
     void are(Map<String, Long> roundTripUs) {
-        roundTrips.clear();
-        roundTrips.putAll(roundTripUs);
-        roundTrips.remove(self);
+        roundTripsUs.clear();
+        roundTripsUs.putAll(roundTripUs);
+        roundTripsUs.remove(self);
     }
 
     boolean isConfigured(String name) {
         return configured.contains(name);
     }
 
-    /** Returns how many of the configured members make a majority. */
+    /** Returns the number of configured members that make a majority. */
     int majority() {
         return configured.size() / 2 + 1;
     }
@@ -44,52 +48,54 @@
         return configured.size();
     }
 
-    /** Returns how many besides this member have to be reached for a majority. */
+    /** Returns the number of configured members besides this one that are needed for a majority. */
     int othersNeeded() {
         return majority() - (isConfigured(self) ? 1 : 0);
     }
 
+    /** Returns whether a member is living; this member always is. */
     boolean alive(String name) {
-        return name.equals(self) || roundTrips.containsKey(name);
+        return name.equals(self) || roundTripsUs.containsKey(name);
     }
 
-    /** Returns the round trip to a member, an upper bound of the way from it. */
+    /** Returns the round-trip time to a member, which is an upper bound of the transit time of a message from it. */
     long roundTripUs(String name) {
-        return roundTrips.getOrDefault(name, unmeasuredUs);
+        return roundTripsUs.getOrDefault(name, unmeasuredUs);
     }
 
+    /** Returns the living members except this one. */
     Collection<String> alive() {
-        return roundTrips.keySet();
+        return roundTripsUs.keySet();
     }
 
-    /** Returns all configured members but this one, whether or not they live. */
+    /** Returns all configured members except this one, living or not. */
     List<String> others() {
         return configured.stream().filter(name -> !name.equals(self)).toList();
     }
 
-    /** Returns all that might hold orders: who lives or is configured. */
+    /** Returns all members except this one that may hold orders: those that are living or configured. */
     Set<String> everyone() {
         Set<String> all = new TreeSet<>(others());
-        all.addAll(roundTrips.keySet());
+        all.addAll(roundTripsUs.keySet());
         return all;
     }
 
-    /** Returns the configured members that are not among these, this one included. */
-    List<String> missing(Collection<String> among) {
-        return configured.stream().filter(name -> !among.contains(name)).toList();
+    /** Returns the configured members, possibly this one, that are not in {@code names}. */
+    List<String> missing(Collection<String> names) {
+        return configured.stream().filter(name -> !names.contains(name)).toList();
     }
 
-    /** Draws so many different members that live, or all of them where there are no more. */
+    /** Draws {@code count} different living members at random, or all of them if there are fewer. */
     List<String> draw(int count) {
-        List<String> left = new ArrayList<>(roundTrips.keySet());
+        List<String> candidates = new ArrayList<>(roundTripsUs.keySet());
         List<String> drawn = new ArrayList<>();
-        while (drawn.size() < count && !left.isEmpty()) {
-            drawn.add(left.remove(random.nextInt(left.size())));
+        while (drawn.size() < count && !candidates.isEmpty()) {
+            drawn.add(candidates.remove(random.nextInt(candidates.size())));
         }
         return drawn;
     }
 
-    /** Draws a time below this one. */
+    /** Draws a random time from zero to below {@code belowUs}. */
     long draw(long belowUs) {
         return random.nextLong(belowUs);
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/Order.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Order.java
@@ -5,14 +5,14 @@
 import walkpost.fleet.member.Life;
 
 /**
- * What operators want. It never changes once it is made.
+ * An operator's order for one key. Immutable: a new order replaces it.
  *
- * @param id unique; the caller's, so that an order sent again is known for the same
- * @param version one more than the highest that it replaces
- * @param replaces the ids of all orders on that key that it puts an end to: the one that stood, and rivals that it settles
- * @param payload JSON on one line; null where it takes back what stood
- * @param before the payload that was acted on until then, as its issuer saw it: what holds on while rivals are not settled
- * @param issuer the member that took it from the operator
+ * @param id unique; chosen by the caller, so that an order sent again is recognized as the same one
+ * @param version one more than the highest version that it replaces
+ * @param replaces the ids of all orders on the key that it replaces: the one in force, and the rivals that it settles
+ * @param payload JSON on one line; null if the order revokes the one in force
+ * @param before the payload that was in effect before, as its issuer saw it; it stays in effect while rivals are not settled
+ * @param issuer the member that took the order from the operator
  */
 public record Order(Key key, String id, long version, List<String> replaces, String payload, String before, Life issuer) {
     public Order {
@@ -22,7 +22,7 @@
         replaces = List.copyOf(replaces);
     }
 
-    /** What an order is about: {@code exclusion} of a server, {@code placement} of a listener, ... */
+    /** The topic and subject of an order, such as the {@code exclusion} of a server or the {@code placement} of a listener. */
     public record Key(String topic, String subject) {
         public Key {
             Objects.requireNonNull(topic, "topic");
--- a/fleet/src/main/java/walkpost/fleet/copy/OrderBook.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/OrderBook.java
@@ -7,30 +7,33 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The slots of a shard: owns them, their tree of hashes, the memory of removals, and what of them is not yet on disk or told. */
+/**
+ * The slots of a shard: owns them, their hash tree, the memory of removed keys, and the sets of slots that have changed since they were
+ * last persisted or last reported to the owner.
+ */
 final class OrderBook {
     private final CopySettings settings;
-    private final Figures figures;
+    private final Figures counters;
     private final Map<Order.Key, Slot> slots = new LinkedHashMap<>();
     private final HashTree<Order.Key> tree = new HashTree<>();
-    /** Since when nothing has stood for a key, for those keys of which that is still remembered. */
-    private final Map<Order.Key, Long> removedUs = new LinkedHashMap<>();
+    /** The time since which no order has been in force for a key, for the removed keys that are still remembered. */
+    private final Map<Order.Key, Long> removedAtUs = new LinkedHashMap<>();
     private final Set<Order.Key> unsaved = new LinkedHashSet<>();
-    private final Set<Order.Key> untold = new LinkedHashSet<>();
+    private final Set<Order.Key> unnotified = new LinkedHashSet<>();
     private long nextForgetUs = Long.MIN_VALUE;
 
-    OrderBook(CopySettings settings, Figures figures) {
+    OrderBook(CopySettings settings, Figures counters) {
         this.settings = settings;
-        this.figures = figures;
+        this.counters = counters;
     }
 
-    /** Returns a key's slot, an empty one where there is none. */
+    /** Returns the slot of a key, or one without history if there is none. */
     Slot slot(Order.Key key) {
         Slot slot = slots.get(key);
         return slot == null ? Slot.empty(key) : slot;
     }
 
-    /** Returns all slots; a copy. */
+    /** Returns a copy of all slots. */
     List<Slot> slots() {
         return List.copyOf(slots.values());
     }
@@ -39,14 +42,18 @@
         return tree;
     }
 
-    /** Returns the hash of a key's slot in the tree, or null. */
+    /** Returns the hash of a key's slot in the hash tree, or null if there is no slot. */
     Long hash(Order.Key key) {
         return tree.hash(key, keyHash(key));
     }
 
-    /** Joins another copy of a slot into this one. {@code removedUs} is how old a removal is, where nothing stands in it. */
-    void merge(long nowUs, Slot other, long removedAgeUs) {
-        long ageUs = Math.max(removedAgeUs, 0);
+    /**
+     * Merges another replica's slot into the slot here.
+     *
+     * @param removalAgeUs how long ago the other replica learnt that no order is in force in the slot; ignored if one is
+     */
+    void merge(long nowUs, Slot other, long removalAgeUs) {
+        long ageUs = Math.max(removalAgeUs, 0);
         Slot mine = slot(other.key());
         boolean removal = SlotRule.removed(other);
         if (mine.none() && removal && ageUs >= settings.removalUs()) {
@@ -56,94 +63,94 @@
         long sinceUs = nowUs - (removal ? ageUs : 0);
         if (joined.equals(mine)) {
             if (removal) {
-                removedUs.computeIfPresent(mine.key(), (key, since) -> Math.min(since, sinceUs));
+                removedAtUs.computeIfPresent(mine.key(), (key, since) -> Math.min(since, sinceUs));
             }
             return;
         }
-        mine.heads().stream().filter(head -> head.version() <= joined.floor()).forEach(head -> figures.count("orders.under_floor"));
+        mine.heads().stream().filter(head -> head.version() <= joined.floor()).forEach(head -> counters.count("orders.under_floor"));
         if (joined.heads().size() > 1 && mine.heads().size() < joined.heads().size()) {
-            figures.count("orders.rivals");
+            counters.count("orders.rivals");
         }
         put(joined);
         if (!SlotRule.removed(joined)) {
-            removedUs.remove(joined.key());
+            removedAtUs.remove(joined.key());
         } else if (!SlotRule.removed(mine) || !SlotRule.ids(mine).equals(SlotRule.ids(joined))) {
-            removedUs.put(joined.key(), sinceUs);
+            removedAtUs.put(joined.key(), sinceUs);
         } else {
-            removedUs.merge(joined.key(), sinceUs, Math::min);
+            removedAtUs.merge(joined.key(), sinceUs, Math::min);
         }
     }
 
-    /** Puts an order that is decided into its slot. */
+    /** Stores a decided order in its slot. */
     void decide(long nowUs, Order order) {
         merge(nowUs, new Slot(order.key(), List.of(order), Map.of(), 0), 0);
     }
 
-    /** Returns whether no further removal can be remembered. */
+    /** Returns whether the memory of removed keys is full. */
     boolean full() {
-        return removedUs.size() >= settings.removals();
+        return removedAtUs.size() >= settings.removals();
     }
 
-    /** Returns how long a removal has been known; zero where something stands. */
+    /** Returns how long ago a key was removed, or zero if an order is in force for it. */
     long removedUs(Order.Key key, long nowUs) {
-        Long since = removedUs.get(key);
+        Long since = removedAtUs.get(key);
         return since == null ? 0 : nowUs - since;
     }
 
-    /** Forgets removals that are old enough; looks once in a period of comparing. */
+    /** Forgets the removals that are old enough. Checks once in each comparison period. */
     void forget(long nowUs) {
         if (nowUs < nextForgetUs) {
             return;
         }
         nextForgetUs = nowUs + settings.compareUs();
-        List<Order.Key> old = new ArrayList<>();
-        removedUs.forEach((key, since) -> {
+        List<Order.Key> expired = new ArrayList<>();
+        removedAtUs.forEach((key, since) -> {
             if (nowUs - since >= settings.removalUs()) {
-                old.add(key);
+                expired.add(key);
             }
         });
-        old.forEach(this::drop);
+        expired.forEach(this::remove);
     }
 
-    /** Empties the copy. */
+    /** Removes all slots. */
     void clear() {
-        List.copyOf(slots.keySet()).forEach(this::drop);
+        List.copyOf(slots.keySet()).forEach(this::remove);
     }
 
-    /** Returns what stands, by key. */
+    /** Returns the order in effect for each key; its payload is null for removed keys. */
     Map<Order.Key, Acting> acting() {
         Map<Order.Key, Acting> all = new LinkedHashMap<>();
         slots.forEach((key, slot) -> all.put(key, SlotRule.acting(slot)));
         return all;
     }
 
-    /** Takes out the slots that have changed since they were last taken out, to be put on disk. */
+    /** Returns the slots that have changed since the last call, to be persisted. */
     List<Slot> takeUnsaved() {
-        List<Slot> taken = unsaved.stream().map(this::slot).toList();
+        List<Slot> changed = unsaved.stream().map(this::slot).toList();
         unsaved.clear();
-        return taken;
+        return changed;
     }
 
-    /** Takes out the keys whose slots have changed since they were last taken out, to be told. */
+    /** Returns the keys whose slots have changed since the last call, to be reported to the owner. */
     List<Order.Key> takeUntold() {
-        List<Order.Key> taken = List.copyOf(untold);
-        untold.clear();
-        return taken;
+        List<Order.Key> changed = List.copyOf(unnotified);
+        unnotified.clear();
+        return changed;
     }
 
     private void put(Slot slot) {
         slots.put(slot.key(), slot);
         tree.put(slot.key(), keyHash(slot.key()), SlotRule.hash(slot));
         unsaved.add(slot.key());
-        untold.add(slot.key());
+        unnotified.add(slot.key());
     }
 
-    private void drop(Order.Key key) {
+    private void remove(Order.Key key) {
         slots.remove(key);
         tree.remove(key, keyHash(key));
-        removedUs.remove(key);
+        removedAtUs.remove(key);
         unsaved.add(key);
-        untold.add(key);
+        unnotified.add(key);
     }
 
     private static long keyHash(Order.Key key) {
--- a/fleet/src/main/java/walkpost/fleet/copy/Outbox.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Outbox.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What one event leads to. Slots go on disk before all else, so that no message or answer speaks of what is not there. */
+/**
+ * Collects the actions that one event leads to. Changed slots are persisted before all other actions, so that no message or answer refers
+ * to state that is not on disk.
+ */
 final class Outbox {
     private final List<CopyAction> actions = new ArrayList<>();
 
@@ -16,7 +19,7 @@
         actions.add(action);
     }
 
-    /** Gives everything out, in order; the box is empty then. */
+    /** Passes the changed slots and then all collected actions, in order, to the owner, and empties the outbox. */
     void release(List<Slot> unsaved, Consumer<CopyAction> owner) {
         if (!unsaved.isEmpty()) {
             owner.accept(new CopyAction.Persist(unsaved));
--- a/fleet/src/main/java/walkpost/fleet/copy/Promises.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Promises.java
@@ -7,78 +7,79 @@
 import walkpost.fleet.member.Life;
 
 /**
- * The holder's side of steps 1 and 2: owns for which order each slot's next version is kept, and until when. A promise ends by this
- * member's own clock, after its coordinator's by far; so it may be sent, and received, late.
+ * The acceptor's side of orders (steps 1 and 2 in {@link CopyMessage}): owns the promises, each of which reserves a slot's next version
+ * for one order for a limited time. A promise expires by this member's own clock, long after the coordinator's deadline for the round,
+ * so that a late proposal or a late answer does no harm.
  */
 final class Promises {
-    private record Promise(Life issuer, long round, String id, long untilUs) { }
+    private record Promise(Life issuer, long round, String id, long expiresAtUs) { }
 
     private final CopySettings settings;
-    private final Touch touch;
-    private final OrderBook book;
+    private final Touch catchUpState;
+    private final OrderBook slotStore;
     private final Map<Order.Key, Promise> promises = new LinkedHashMap<>();
 
-    Promises(CopySettings settings, Touch touch, OrderBook book) {
+    Promises(CopySettings settings, Touch catchUpState, OrderBook slotStore) {
         this.settings = settings;
-        this.touch = touch;
-        this.book = book;
+        this.catchUpState = catchUpState;
+        this.slotStore = slotStore;
     }
 
-    /** Answers a proposal, whose slot has been joined into this copy before. */
+    /** Returns the answer to a proposal, whose slot the caller has merged into this replica before. */
     CopyMessage answer(long nowUs, CopyMessage.Propose proposal) {
         Order order = proposal.order();
-        if (!touch.level()) {
+        if (!catchUpState.level()) {
             return declined(proposal, CopyMessage.Reason.NOT_LEVEL, "", null);
         }
-        Slot slot = book.slot(order.key());
+        Slot slot = slotStore.slot(order.key());
         if (!new TreeSet<>(order.replaces()).equals(new TreeSet<>(SlotRule.ids(slot))) || order.version() != SlotRule.next(slot)) {
             return declined(proposal, CopyMessage.Reason.OVERTAKEN, SlotRule.words(slot), last(SlotRule.parts(slot, order.id())));
         }
-        if (order.payload() == null && !SlotRule.removed(slot) && book.full()) {
+        if (order.payload() == null && !SlotRule.removed(slot) && slotStore.full()) {
             return declined(proposal, CopyMessage.Reason.FULL, "", null);
         }
-        Promise kept = kept(order.key(), nowUs);
-        // The same coordinator's later round tells that it has given up the one before.
-        if (kept != null && !(kept.issuer().equals(order.issuer()) && kept.round() <= proposal.round())) {
-            return declined(proposal, CopyMessage.Reason.BUSY, kept.id(), null);
+        Promise promise = unexpired(order.key(), nowUs);
+        // A later round of the same coordinator shows that it has abandoned its earlier round.
+        if (promise != null && !(promise.issuer().equals(order.issuer()) && promise.round() <= proposal.round())) {
+            return declined(proposal, CopyMessage.Reason.BUSY, promise.id(), null);
         }
-        if (kept == null || kept.round() != proposal.round()) {
+        if (promise == null || promise.round() != proposal.round()) {
             promises.put(order.key(), new Promise(order.issuer(), proposal.round(), order.id(), nowUs + settings.promiseUs()));
         }
         return new CopyMessage.Promised(proposal.round(), order.id());
     }
 
-    /** An order is decided: its promise is over. */
+    /** Releases the promise for an order that is decided. */
     void decided(Order.Key key, String id) {
-        Promise kept = promises.get(key);
-        if (kept != null && kept.id().equals(id)) {
+        Promise promise = promises.get(key);
+        if (promise != null && promise.id().equals(id)) {
             promises.remove(key);
         }
     }
 
-    /** A coordinator has given up a round: its promise is over. */
+    /** Releases the promise for a round that its coordinator has abandoned, or for an earlier round of that coordinator. */
     void forget(Order.Key key, String issuer, long incarnation, long round) {
-        Promise kept = promises.get(key);
-        if (kept != null && kept.issuer().equals(new Life(issuer, incarnation)) && kept.round() <= round) {
+        Promise promise = promises.get(key);
+        if (promise != null && promise.issuer().equals(new Life(issuer, incarnation)) && promise.round() <= round) {
             promises.remove(key);
         }
     }
 
-    /** Drops promises that have run out. */
+    /** Removes expired promises. */
     void expire(long nowUs) {
-        promises.values().removeIf(promise -> promise.untilUs() <= nowUs);
+        promises.values().removeIf(promise -> promise.expiresAtUs() <= nowUs);
     }
 
-    private Promise kept(Order.Key key, long nowUs) {
-        Promise kept = promises.get(key);
-        return kept != null && kept.untilUs() > nowUs ? kept : null;
+    private Promise unexpired(Order.Key key, long nowUs) {
+        Promise promise = promises.get(key);
+        return promise != null && promise.expiresAtUs() > nowUs ? promise : null;
     }
 
     private static Slot last(List<Slot> parts) {
         return parts.get(parts.size() - 1);
     }
 
-    private static CopyMessage declined(CopyMessage.Propose proposal, CopyMessage.Reason why, String other, Slot slot) {
-        return new CopyMessage.Declined(proposal.round(), proposal.order().id(), why, other, slot);
+    private static CopyMessage declined(CopyMessage.Propose proposal, CopyMessage.Reason reason, String other, Slot slot) {
+        return new CopyMessage.Declined(proposal.round(), proposal.order().id(), reason, other, slot);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Proposals.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Proposals.java
@@ -12,20 +12,21 @@
 import walkpost.fleet.member.Life;
 
 /**
- * The coordinator's side of orders: owns those that operators have given to this member and that are not answered yet. Each round is
- * either decided before its deadline by this member's own clock, with a majority of promises in hand, or given up for good.
+ * The coordinator's side of orders (steps 1 to 5 in {@link CopyMessage}): owns the orders that operators have given to this member and
+ * that are not answered yet. With promises of a majority, a round is either decided before its deadline by this member's own clock, or
+ * abandoned for good.
  */
 final class Proposals {
-    private static final long REPEAT_US = 200_000;
+    private static final long RESEND_INTERVAL_US = 200_000;
 
-    /** An order on its way. Decided or not, each waits for the answers of a majority until its deadline. */
+    /** An order under way. Until its deadline it waits for a majority: of promises before it is decided, of confirmations after. */
     private static final class Proposal {
         private final Order order;
         private final long round;
         private final boolean decided;
         private final long deadlineUs;
-        private final TreeSet<String> yes = new TreeSet<>();
-        private final Map<String, CopyMessage.Declined> no = new TreeMap<>();
+        private final TreeSet<String> confirmedBy = new TreeSet<>();
+        private final Map<String, CopyMessage.Declined> declinedBy = new TreeMap<>();
         private long sentUs;
 
         private Proposal(Order order, long round, boolean decided, long nowUs, long deadlineUs) {
@@ -39,44 +40,45 @@
 
     private final CopySettings settings;
     private final Life self;
-    private final Neighbours neighbours;
-    private final Touch touch;
-    private final OrderBook book;
-    private final Promises promises;
-    private final Figures figures;
+    private final Neighbours peers;
+    private final Touch catchUpState;
+    private final OrderBook slotStore;
+    private final Promises acceptor;
+    private final Figures counters;
     private final Map<String, Proposal> proposals = new LinkedHashMap<>();
-    private long rounds;
+    private long lastRound;
 
-    Proposals(CopySettings settings, Life self, Neighbours neighbours, Touch touch, OrderBook book, Promises promises, Figures figures) {
+    Proposals(CopySettings settings, Life self, Neighbours peers, Touch catchUpState, OrderBook slotStore, Promises acceptor,
+            Figures counters) {
         this.settings = settings;
         this.self = self;
-        this.neighbours = neighbours;
-        this.touch = touch;
-        this.book = book;
-        this.promises = promises;
-        this.figures = figures;
-        // An answer to a former life is none to this one.
-        this.rounds = Shards.hash(self.toString()) >>> 16;
+        this.peers = peers;
+        this.catchUpState = catchUpState;
+        this.slotStore = slotStore;
+        this.acceptor = acceptor;
+        this.counters = counters;
+        // Each life starts its rounds at another number, so that an answer to a former life is not taken for one to this life.
+        this.lastRound = Shards.hash(self.toString()) >>> 16;
     }
 
-    /** Takes an operator's order. */
+    /** Starts an operator's order, or refuses it; an order that is known already is answered again. */
     void propose(long nowUs, CopyEvent.Propose call, Outbox out) {
-        Slot slot = book.slot(call.key());
+        Slot slot = slotStore.slot(call.key());
         Proposal running = proposals.get(call.id());
         try {
             check(call, slot, running == null ? SlotRule.head(slot, call.id()) : running.order);
             if (running != null) {
                 return;
             }
-            if (!touch.level()) {
-                throw notLevel();
+            if (!catchUpState.level()) {
+                throw notCaughtUp();
             }
             Order known = SlotRule.head(slot, call.id());
             if (known != null) {
-                hold(nowUs, known, nowUs + settings.answerUs(), out);
+                commit(nowUs, known, nowUs + settings.answerUs(), out);
                 return;
             }
-            Order order = make(call, slot);
+            Order order = create(call, slot);
             for (Proposal other : proposals.values()) {
                 if (!other.decided && other.order.key().equals(call.key())) {
                     throw new FleetException.Busy(call.id(), other.order.id());
@@ -85,139 +87,150 @@
             start(nowUs, order, slot, out);
         } catch (FleetException e) {
             out.tell(new CopyAction.Refused(call.id(), e));
-            figures.count("orders.refused");
+            counters.count("orders.refused");
         }
     }
 
-    /** A holder has promised, or confirmed that it holds, an order. */
-    void yes(long nowUs, String from, long round, String id, boolean held, Outbox out) {
+    /**
+     * Records that an acceptor has promised an order, or has confirmed that it stores the decided order.
+     *
+     * @param stored whether it confirms that the order is stored
+     */
+    void yes(long nowUs, String from, long round, String id, boolean stored, Outbox out) {
         Proposal proposal = current(round, id);
-        if (proposal != null && proposal.decided == held && neighbours.isConfigured(from)) {
-            proposal.yes.add(from);
+        if (proposal != null && proposal.decided == stored && peers.isConfigured(from)) {
+            proposal.confirmedBy.add(from);
             advance(nowUs, proposal, out);
         }
     }
 
-    /** A holder makes no promise. What it knows and this copy did not has been joined before. */
+    /** Records that an acceptor declined a proposal. The caller has merged the acceptor's slot into this replica before. */
     void no(String from, CopyMessage.Declined declined) {
         Proposal proposal = current(declined.round(), declined.id());
-        if (proposal != null && neighbours.isConfigured(from)) {
-            proposal.no.put(from, declined);
+        if (proposal != null && peers.isConfigured(from)) {
+            proposal.declinedBy.put(from, declined);
         }
     }
 
-    /** Looks after each order: deadlines first, before anything else that happens at this time. */
+    /** Fails the orders whose deadline has passed. The caller does this before anything else that happens at this time. */
     void expire(long nowUs, Outbox out) {
         for (Proposal proposal : List.copyOf(proposals.values())) {
             if (nowUs > proposal.deadlineUs) {
-                fail(proposal, outOfTime(proposal), out);
+                fail(proposal, timeout(proposal), out);
             }
         }
     }
 
-    /** Gives up what can't be decided any more, as others said no, the slot changed, or touch is lost; asks again who is silent. */
+    /**
+     * Abandons the proposals that can no longer be decided, because acceptors declined, the slot changed, or this member is no longer
+     * caught up; sends the others again to the members that have not answered.
+     */
     void review(long nowUs, Outbox out) {
         for (Proposal proposal : List.copyOf(proposals.values())) {
-            Slot slot = book.slot(proposal.order.key());
+            Slot slot = slotStore.slot(proposal.order.key());
             Order known = SlotRule.head(slot, proposal.order.id());
             if (!proposal.decided && known != null && Objects.equals(known.payload(), proposal.order.payload())) {
-                // It was decided in an earlier round or by another member, and this one has learnt of it.
-                forget(proposal, out);
-                hold(nowUs, known, proposal.deadlineUs + settings.answerUs(), out);
+                // The order was decided in an earlier round or by another member, and this member has learnt of it since.
+                releasePromises(proposal, out);
+                commit(nowUs, known, proposal.deadlineUs + settings.answerUs(), out);
                 continue;
             }
             if (!proposal.decided) {
-                FleetException why = whyNot(proposal, slot);
-                if (why != null) {
-                    fail(proposal, why, out);
+                FleetException failure = failure(proposal, slot);
+                if (failure != null) {
+                    fail(proposal, failure, out);
                     continue;
                 }
             }
-            if (nowUs - proposal.sentUs >= REPEAT_US) {
+            if (nowUs - proposal.sentUs >= RESEND_INTERVAL_US) {
                 proposal.sentUs = nowUs;
-                neighbours.missing(proposal.yes).forEach(to -> send(proposal, to, out));
+                peers.missing(proposal.confirmedBy).forEach(to -> send(proposal, to, out));
             }
         }
     }
 
     private void check(CopyEvent.Propose call, Slot slot, Order known) throws FleetException {
-        String why = null;
+        String problem = null;
         if (call.id() == null || call.id().isBlank() || Sizes.utf8(call.id()) > Sizes.ID) {
-            why = "an order needs an id of 1 to " + Sizes.ID + " bytes";
+            problem = "an order needs an id of 1 to " + Sizes.ID + " bytes";
         } else if (call.key().topic().isBlank() || Sizes.utf8(call.key().topic()) > Sizes.TOPIC) {
-            why = "an order needs a topic of 1 to " + Sizes.TOPIC + " bytes";
+            problem = "an order needs a topic of 1 to " + Sizes.TOPIC + " bytes";
         } else if (call.key().subject().isBlank() || Sizes.utf8(call.key().subject()) > Sizes.SUBJECT) {
-            why = "an order needs a subject of 1 to " + Sizes.SUBJECT + " bytes";
+            problem = "an order needs a subject of 1 to " + Sizes.SUBJECT + " bytes";
         } else if (Sizes.utf8(call.payload()) > Sizes.PAYLOAD) {
-            why = "an order's payload has " + Sizes.PAYLOAD + " bytes at most";
+            problem = "the payload of an order has at most " + Sizes.PAYLOAD + " bytes, found " + Sizes.utf8(call.payload());
         } else if (call.payload() != null && call.payload().indexOf('\n') >= 0) {
-            why = "an order's payload is one line of JSON";
+            problem = "the payload of an order is one line of JSON, found a line break";
         } else if (known != null && !(known.key().equals(call.key()) && Objects.equals(known.payload(), call.payload()))) {
-            why = "the id " + call.id() + " belongs to another order";
+            problem = "the id " + call.id() + " belongs to another order";
         } else if (known == null && call.payload() == null && SlotRule.removed(slot) && !slot.replaced().containsKey(call.id())) {
-            why = "nothing stands that could be taken back";
+            problem = "no order is in force that could be revoked";
         } else if (SlotRule.next(slot) > FactBook.LIMIT) {
-            why = "no version is left for this key";
+            problem = "no version is left for this key";
         }
-        if (why != null) {
-            throw new FleetException.BadCall(why);
+        if (problem != null) {
+            throw new FleetException.BadCall(problem);
         }
     }
 
-    private Order make(CopyEvent.Propose call, Slot slot) throws FleetException {
-        List<String> stands = SlotRule.ids(slot);
+    private Order create(CopyEvent.Propose call, Slot slot) throws FleetException {
+        List<String> inForce = SlotRule.ids(slot);
         String replaces = call.replaces();
-        boolean agrees = replaces == null
-                || (replaces.isEmpty() ? SlotRule.removed(slot) : stands.equals(List.of(replaces)));
-        if (!agrees || slot.replaced().containsKey(call.id())) {
+        boolean replacesWhatIsInForce = replaces == null
+                || (replaces.isEmpty() ? SlotRule.removed(slot) : inForce.equals(List.of(replaces)));
+        if (!replacesWhatIsInForce || slot.replaced().containsKey(call.id())) {
             throw new FleetException.Overtaken(call.id(), SlotRule.words(slot));
         }
-        if (call.payload() == null && book.full()) {
-            throw full();
+        if (call.payload() == null && slotStore.full()) {
+            throw removalMemoryFull();
         }
-        return new Order(call.key(), call.id(), SlotRule.next(slot), stands, call.payload(), SlotRule.acting(slot).payload(), self);
+        return new Order(call.key(), call.id(), SlotRule.next(slot), inForce, call.payload(), SlotRule.acting(slot).payload(), self);
     }
 
+    /** Carries out step 1: proposes the order to all configured members, this one first. */
     private void start(long nowUs, Order order, Slot slot, Outbox out) throws FleetException {
-        Proposal proposal = new Proposal(order, ++rounds, false, nowUs, nowUs + settings.answerUs());
-        CopyMessage own = promises.answer(nowUs, new CopyMessage.Propose(proposal.round, order, slot));
-        if (own instanceof CopyMessage.Declined declined) {
+        Proposal proposal = new Proposal(order, ++lastRound, false, nowUs, nowUs + settings.answerUs());
+        CopyMessage ownAnswer = acceptor.answer(nowUs, new CopyMessage.Propose(proposal.round, order, slot));
+        if (ownAnswer instanceof CopyMessage.Declined declined) {
             throw declined.why() == CopyMessage.Reason.BUSY ? new FleetException.Busy(order.id(), declined.other())
                     : new FleetException.Overtaken(order.id(), SlotRule.words(slot));
         }
         proposals.put(order.id(), proposal);
-        if (neighbours.isConfigured(self.name())) {
-            proposal.yes.add(self.name());
+        if (peers.isConfigured(self.name())) {
+            proposal.confirmedBy.add(self.name());
         }
-        neighbours.others().forEach(to -> send(proposal, to, out));
+        peers.others().forEach(to -> send(proposal, to, out));
         advance(nowUs, proposal, out);
     }
 
-    /** Steps 3 and 5, once there is a majority of answers. Deadlines and touch were looked at earlier in the same event. */
+    /**
+     * Carries out step 3 or 5 if a majority has answered. The same event has checked the deadline and whether this member is caught up
+     * before.
+     */
     private void advance(long nowUs, Proposal proposal, Outbox out) {
-        if (proposal.yes.size() < neighbours.majority()) {
+        if (proposal.confirmedBy.size() < peers.majority()) {
             return;
         }
         if (proposal.decided) {
             proposals.remove(proposal.order.id());
             out.tell(new CopyAction.Acknowledged(proposal.order.id(), proposal.order));
-            figures.count("orders.acknowledged");
-        } else if (nowUs <= proposal.deadlineUs && whyNot(proposal, book.slot(proposal.order.key())) == null) {
-            promises.decided(proposal.order.key(), proposal.order.id());
-            book.decide(nowUs, proposal.order);
-            figures.count("orders.decided");
-            hold(nowUs, proposal.order, proposal.deadlineUs + settings.answerUs(), out);
+            counters.count("orders.acknowledged");
+        } else if (nowUs <= proposal.deadlineUs && failure(proposal, slotStore.slot(proposal.order.key())) == null) {
+            acceptor.decided(proposal.order.key(), proposal.order.id());
+            slotStore.decide(nowUs, proposal.order);
+            counters.count("orders.decided");
+            commit(nowUs, proposal.order, proposal.deadlineUs + settings.answerUs(), out);
         }
     }
 
-    /** Step 4: the order stands here; all others are to hold it as well. */
-    private void hold(long nowUs, Order order, long deadlineUs, Outbox out) {
-        Proposal proposal = new Proposal(order, ++rounds, true, nowUs, deadlineUs);
+    /** Carries out step 4: asks all other members to store an order that is decided and stored here. */
+    private void commit(long nowUs, Order order, long deadlineUs, Outbox out) {
+        Proposal proposal = new Proposal(order, ++lastRound, true, nowUs, deadlineUs);
         proposals.put(order.id(), proposal);
-        if (neighbours.isConfigured(self.name())) {
-            proposal.yes.add(self.name());
+        if (peers.isConfigured(self.name())) {
+            proposal.confirmedBy.add(self.name());
         }
-        neighbours.everyone().forEach(to -> send(proposal, to, out));
+        peers.everyone().forEach(to -> send(proposal, to, out));
         advance(nowUs, proposal, out);
     }
 
@@ -226,7 +239,7 @@
             return;
         }
         String id = proposal.order.id();
-        List<Slot> parts = SlotRule.parts(book.slot(proposal.order.key()), id);
+        List<Slot> parts = SlotRule.parts(slotStore.slot(proposal.order.key()), id);
         Slot last = parts.get(parts.size() - 1);
         parts.subList(0, parts.size() - 1).forEach(part ->
                 out.send(to, new CopyMessage.Slots(0, List.of(new CopyMessage.Aged(part, 0)))));
@@ -234,43 +247,43 @@
                 : new CopyMessage.Propose(proposal.round, proposal.order, last));
     }
 
-    /** Returns why an order can't be decided any more, or null while it can. */
-    private FleetException whyNot(Proposal proposal, Slot slot) {
+    /** Returns the reason why an order can no longer be decided, or null if it still can. */
+    private FleetException failure(Proposal proposal, Slot slot) {
         String id = proposal.order.id();
-        if (!touch.level()) {
-            return notLevel();
+        if (!catchUpState.level()) {
+            return notCaughtUp();
         }
         if (!new TreeSet<>(proposal.order.replaces()).equals(new TreeSet<>(SlotRule.ids(slot)))) {
             return new FleetException.Overtaken(id, SlotRule.words(slot));
         }
-        Collection<CopyMessage.Declined> firm = new ArrayList<>(proposal.no.values());
-        firm.removeIf(no -> no.why() != CopyMessage.Reason.BUSY && no.why() != CopyMessage.Reason.FULL);
-        if (firm.size() <= neighbours.configuredSize() - neighbours.majority()) {
+        Collection<CopyMessage.Declined> firmlyDeclined = new ArrayList<>(proposal.declinedBy.values());
+        firmlyDeclined.removeIf(declined -> declined.why() != CopyMessage.Reason.BUSY && declined.why() != CopyMessage.Reason.FULL);
+        if (firmlyDeclined.size() <= peers.configuredSize() - peers.majority()) {
             return null;
         }
-        return firm.stream().filter(no -> no.why() == CopyMessage.Reason.BUSY).findFirst()
-                .<FleetException>map(busy -> new FleetException.Busy(id, busy.other())).orElseGet(this::full);
+        return firmlyDeclined.stream().filter(declined -> declined.why() == CopyMessage.Reason.BUSY).findFirst()
+                .<FleetException>map(busy -> new FleetException.Busy(id, busy.other())).orElseGet(this::removalMemoryFull);
     }
 
-    private FleetException outOfTime(Proposal proposal) {
-        Collection<String> missing = neighbours.missing(proposal.yes);
+    private FleetException timeout(Proposal proposal) {
+        Collection<String> missing = peers.missing(proposal.confirmedBy);
         return proposal.decided ? new FleetException.Uncertain(proposal.order.id(), missing)
-                : new FleetException.NoMajority(proposal.order.id(), proposal.yes.size(), neighbours.configuredSize(), missing);
+                : new FleetException.NoMajority(proposal.order.id(), proposal.confirmedBy.size(), peers.configuredSize(), missing);
     }
 
-    private void fail(Proposal proposal, FleetException why, Outbox out) {
+    private void fail(Proposal proposal, FleetException failure, Outbox out) {
         proposals.remove(proposal.order.id());
-        out.tell(new CopyAction.Refused(proposal.order.id(), why));
-        figures.count(proposal.decided ? "orders.uncertain" : "orders.refused");
+        out.tell(new CopyAction.Refused(proposal.order.id(), failure));
+        counters.count(proposal.decided ? "orders.uncertain" : "orders.refused");
         if (!proposal.decided) {
-            forget(proposal, out);
+            releasePromises(proposal, out);
         }
     }
 
-    private void forget(Proposal proposal, Outbox out) {
-        promises.forget(proposal.order.key(), self.name(), self.incarnation(), proposal.round);
-        CopyMessage forget = new CopyMessage.Forget(proposal.round, proposal.order.key(), self.incarnation());
-        neighbours.others().forEach(to -> out.send(to, forget));
+    private void releasePromises(Proposal proposal, Outbox out) {
+        acceptor.forget(proposal.order.key(), self.name(), self.incarnation(), proposal.round);
+        CopyMessage release = new CopyMessage.Forget(proposal.round, proposal.order.key(), self.incarnation());
+        peers.others().forEach(to -> out.send(to, release));
     }
 
     private Proposal current(long round, String id) {
@@ -278,11 +291,11 @@
         return proposal != null && proposal.round == round ? proposal : null;
     }
 
-    private FleetException notLevel() {
-        return new FleetException.NotLevel(self.name(), touch.compared(), neighbours.majority());
+    private FleetException notCaughtUp() {
+        return new FleetException.NotLevel(self.name(), catchUpState.compared(), peers.majority());
     }
 
-    private FleetException full() {
-        return new FleetException.Full("memory of removals in one shard", settings.removals());
+    private FleetException removalMemoryFull() {
+        return new FleetException.Full("removed keys remembered in one shard", settings.removals());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Shard.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Shard.java
@@ -10,243 +10,246 @@
 import walkpost.fleet.member.Life;
 
 /**
- * One share of what members know together: facts and orders on the keys that {@link Shards#of} gives to it. Its parts own one state
- * each; this class hands events to them and owns what has been told to the process. See {@code docs/fleet.md}.
+ * This member's replica of one shard of the fleet's state: the entries and orders whose keys {@link Shards#of} maps to the shard. Each
+ * component owns one part of the state; this class passes events to the components and owns what has been reported to the process. See
+ * {@code docs/fleet.md}.
  *
- * <p>Readers are to be called by whoever may call {@link #handle}, under the same lock; what they return stays as it is.
+ * <p>Not thread-safe: the read methods need the same lock as {@link #handle}. The values that they return are immutable or copies.
  */
 public final class Shard implements Machine<CopyEvent, CopyAction> {
     private final CopySettings settings;
-    private final Figures figures = new Figures();
+    private final Figures counters = new Figures();
     private final Outbox out = new Outbox();
-    private final Neighbours neighbours;
-    private final Touch touch;
-    private final OrderBook book;
-    private final FactBook facts;
-    private final Spread spread;
-    private final Promises promises;
-    private final Proposals proposals;
-    private final Answers answers;
-    private final CatchUp catchUp;
-    private final Map<Order.Key, Acting> told = new HashMap<>();
-    private boolean toldLevel;
+    private final Neighbours peers;
+    private final Touch catchUpState;
+    private final OrderBook slotStore;
+    private final FactBook entryStore;
+    private final Spread gossip;
+    private final Promises acceptor;
+    private final Proposals coordinator;
+    private final Answers antiEntropyResponder;
+    private final CatchUp antiEntropyRequester;
+    private final Map<Order.Key, Acting> reportedOrders = new HashMap<>();
+    private boolean reportedCaughtUp;
 
     /**
-     * Makes a shard that holds nothing and is not level.
+     * Creates an empty replica that is not caught up.
      *
      * @param self this member's name and incarnation
-     * @param configured the names whose majority acknowledges; this one's may be missing
-     * @param seed of the random choice of whom to tell and to ask
+     * @param configured the names of the members whose majority acknowledges orders; this member need not be among them
+     * @param seed the seed for the random choice of members to gossip to and to compare with
      */
     public Shard(CopySettings settings, Life self, Set<String> configured, long seed) {
         if (configured.isEmpty()) {
-            throw new IllegalArgumentException("a fleet needs a configured member");
+            throw new IllegalArgumentException("configured is empty, expected the name of at least one member");
         }
         this.settings = settings;
-        neighbours = new Neighbours(self.name(), configured, settings.compareUs(), seed);
-        touch = new Touch(settings, neighbours, figures);
-        book = new OrderBook(settings, figures);
-        spread = new Spread(settings, neighbours);
-        facts = new FactBook(settings, neighbours, figures, self, spread::add);
-        promises = new Promises(settings, touch, book);
-        proposals = new Proposals(settings, self, neighbours, touch, book, promises, figures);
-        answers = new Answers(touch, book, facts);
-        catchUp = new CatchUp(settings, neighbours, touch, book, facts);
+        peers = new Neighbours(self.name(), configured, settings.compareUs(), seed);
+        catchUpState = new Touch(settings, peers, counters);
+        slotStore = new OrderBook(settings, counters);
+        gossip = new Spread(settings, peers);
+        entryStore = new FactBook(settings, peers, counters, self, gossip::add);
+        acceptor = new Promises(settings, catchUpState, slotStore);
+        coordinator = new Proposals(settings, self, peers, catchUpState, slotStore, acceptor, counters);
+        antiEntropyResponder = new Answers(catchUpState, slotStore, entryStore);
+        antiEntropyRequester = new CatchUp(settings, peers, catchUpState, slotStore, entryStore);
     }
 
     @Override
     public void handle(long nowUs, CopyEvent event, Consumer<CopyAction> actions) {
-        if (touch.clock(nowUs)) {
-            catchUp.reset(nowUs);
+        if (catchUpState.clock(nowUs)) {
+            antiEntropyRequester.reset(nowUs);
         }
-        proposals.expire(nowUs, out);
-        promises.expire(nowUs);
+        coordinator.expire(nowUs, out);
+        acceptor.expire(nowUs);
         if (event instanceof CopyEvent.Tick) {
             tick(nowUs);
         } else if (event instanceof CopyEvent.Received received) {
-            touch.heard(received.from(), nowUs);
+            catchUpState.heard(received.from(), nowUs);
             receive(nowUs, received.from(), received.message());
-        } else if (event instanceof CopyEvent.Peers peers) {
-            neighbours.are(peers.roundTripUs());
-        } else if (event instanceof CopyEvent.Tell tell) {
-            Fact.Key key = facts.tell(nowUs, tell.topic(), tell.subject(), tell.payload());
+        } else if (event instanceof CopyEvent.Peers living) {
+            peers.are(living.roundTripUs());
+        } else if (event instanceof CopyEvent.Tell write) {
+            Fact.Key key = entryStore.tell(nowUs, write.topic(), write.subject(), write.payload());
             if (key != null) {
-                spread.first(nowUs, key, facts, out);
+                gossip.first(nowUs, key, entryStore, out);
             }
         } else if (event instanceof CopyEvent.Propose propose) {
-            proposals.propose(nowUs, propose, out);
+            coordinator.propose(nowUs, propose, out);
         } else if (event instanceof CopyEvent.Offered offered) {
-            offered.slots().forEach(slot -> book.merge(nowUs, slot, 0));
+            offered.slots().forEach(slot -> slotStore.merge(nowUs, slot, 0));
         } else if (event instanceof CopyEvent.Restored restored) {
-            touch.restored(nowUs, restored.awayUs());
-            restored.slots().forEach(slot -> book.merge(nowUs, slot, 0));
-            book.takeUnsaved();
+            catchUpState.restored(nowUs, restored.awayUs());
+            restored.slots().forEach(slot -> slotStore.merge(nowUs, slot, 0));
+            slotStore.takeUnsaved();
         }
-        settle(nowUs);
-        proposals.review(nowUs, out);
-        facts.due(nowUs, out);
-        tellOrders();
-        out.release(book.takeUnsaved(), actions);
+        updateCaughtUp(nowUs);
+        coordinator.review(nowUs, out);
+        entryStore.due(nowUs, out);
+        reportOrders();
+        out.release(slotStore.takeUnsaved(), actions);
     }
 
-    /** Returns what stands, by key, as this copy has it; removals that are remembered are among them, with no payload. */
+    /** Returns the order in effect for each key, in this replica; for removed keys that are still remembered, the payload is null. */
     public Map<Order.Key, Acting> acting() {
-        return book.acting();
+        return slotStore.acting();
     }
 
-    /** Returns the facts on a topic that are not withdrawn, their ages counted to now; those past their bound are among them. */
+    /** Returns the entries of a topic that are not withdrawn, stale ones included, with their ages at {@code nowUs}. */
     public List<Fact> facts(String topic, long nowUs) {
-        return facts.facts(topic, nowUs);
+        return entryStore.facts(topic, nowUs);
     }
 
-    /** Returns whether this shard has caught up with a majority of the configured members. */
+    /** Returns whether this replica has caught up with a majority of the configured members. */
     public boolean level() {
-        return touch.level();
+        return catchUpState.level();
     }
 
-    /** Returns with how many configured members it is compared, itself counted. */
+    /** Returns the number of configured members, this one included, with which this replica has been compared. */
     public int compared() {
-        return touch.compared();
+        return catchUpState.compared();
     }
 
     /** Returns all slots, for a snapshot. */
     public List<Slot> slots() {
-        return book.slots();
+        return slotStore.slots();
     }
 
-    /** Returns counts by name, and how much is held and waited for. */
+    /** Returns the counters by name, and the numbers of entries, slots and queued fetches. */
     public Map<String, Long> figures() {
-        Map<String, Long> all = figures.all();
-        all.put("facts", (long) facts.size());
-        all.put("slots", (long) book.slots().size());
-        all.put("fetches.waiting", (long) catchUp.waiting());
+        Map<String, Long> all = counters.all();
+        all.put("facts", (long) entryStore.size());
+        all.put("slots", (long) slotStore.slots().size());
+        all.put("fetches.waiting", (long) antiEntropyRequester.waiting());
         return all;
     }
 
     private void tick(long nowUs) {
-        book.forget(nowUs);
-        spread.round(nowUs, facts, out);
-        catchUp.tick(nowUs, out);
+        slotStore.forget(nowUs);
+        gossip.round(nowUs, entryStore, out);
+        antiEntropyRequester.tick(nowUs, out);
     }
 
     private void receive(long nowUs, String from, CopyMessage message) {
-        if (message instanceof CopyMessage.Facts told) {
-            hear(nowUs, from, told);
+        if (message instanceof CopyMessage.Facts entries) {
+            receiveEntries(nowUs, from, entries);
         } else if (message instanceof CopyMessage.Propose proposal) {
-            renew(nowUs, 0);
-            book.merge(nowUs, proposal.slot(), 0);
-            out.send(from, promises.answer(nowUs, proposal));
+            emptyIfOutdated(nowUs, 0);
+            slotStore.merge(nowUs, proposal.slot(), 0);
+            out.send(from, acceptor.answer(nowUs, proposal));
         } else if (message instanceof CopyMessage.Promised promised) {
-            proposals.yes(nowUs, from, promised.round(), promised.id(), false, out);
+            coordinator.yes(nowUs, from, promised.round(), promised.id(), false, out);
         } else if (message instanceof CopyMessage.Declined declined) {
             if (declined.slot() != null) {
-                book.merge(nowUs, declined.slot(), 0);
+                slotStore.merge(nowUs, declined.slot(), 0);
             }
-            proposals.no(from, declined);
-        } else if (message instanceof CopyMessage.Forget forget) {
-            promises.forget(forget.key(), from, forget.incarnation(), forget.round());
-        } else if (message instanceof CopyMessage.Hold hold) {
-            renew(nowUs, 0);
-            book.merge(nowUs, hold.slot(), 0);
-            promises.decided(hold.slot().key(), hold.id());
-            if (touch.level()) {
-                out.send(from, new CopyMessage.Held(hold.round(), hold.id()));
+            coordinator.no(from, declined);
+        } else if (message instanceof CopyMessage.Forget release) {
+            acceptor.forget(release.key(), from, release.incarnation(), release.round());
+        } else if (message instanceof CopyMessage.Hold commit) {
+            emptyIfOutdated(nowUs, 0);
+            slotStore.merge(nowUs, commit.slot(), 0);
+            acceptor.decided(commit.slot().key(), commit.id());
+            if (catchUpState.level()) {
+                out.send(from, new CopyMessage.Held(commit.round(), commit.id()));
             }
-        } else if (message instanceof CopyMessage.Held held) {
-            proposals.yes(nowUs, from, held.round(), held.id(), true, out);
+        } else if (message instanceof CopyMessage.Held committed) {
+            coordinator.yes(nowUs, from, committed.round(), committed.id(), true, out);
         } else {
-            compare(nowUs, from, message);
+            receiveAntiEntropy(nowUs, from, message);
         }
     }
 
-    private void compare(long nowUs, String from, CopyMessage message) {
-        if (message instanceof CopyMessage.Compare asked) {
-            renew(nowUs, asked.awayUs());
-            answers.compare(nowUs, from, asked, out);
+    private void receiveAntiEntropy(long nowUs, String from, CopyMessage message) {
+        if (message instanceof CopyMessage.Compare request) {
+            emptyIfOutdated(nowUs, request.awayUs());
+            antiEntropyResponder.compare(nowUs, from, request, out);
         } else if (message instanceof CopyMessage.Nodes nodes) {
-            renew(nowUs, nodes.awayUs());
-            if (!outdated(nowUs, nodes.awayUs())) {
-                catchUp.nodes(nowUs, from, nodes, out);
+            emptyIfOutdated(nowUs, nodes.awayUs());
+            if (!isOutdated(nowUs, nodes.awayUs())) {
+                antiEntropyRequester.nodes(nowUs, from, nodes, out);
             }
-        } else if (message instanceof CopyMessage.Leaves leaves) {
-            answers.leaves(from, leaves, out);
-        } else if (message instanceof CopyMessage.SlotStamps stamps) {
-            catchUp.slotStamps(nowUs, from, stamps);
-        } else if (message instanceof CopyMessage.FactStamps stamps) {
-            catchUp.factStamps(from, stamps);
-        } else if (message instanceof CopyMessage.Want want) {
-            answers.want(nowUs, from, want, out);
+        } else if (message instanceof CopyMessage.Leaves request) {
+            antiEntropyResponder.leaves(from, request, out);
+        } else if (message instanceof CopyMessage.SlotStamps digests) {
+            antiEntropyRequester.slotStamps(nowUs, from, digests);
+        } else if (message instanceof CopyMessage.FactStamps digests) {
+            antiEntropyRequester.factStamps(from, digests);
+        } else if (message instanceof CopyMessage.Want request) {
+            antiEntropyResponder.want(nowUs, from, request, out);
         } else if (message instanceof CopyMessage.Slots slots) {
-            renew(nowUs, slots.awayUs());
-            if (!outdated(nowUs, slots.awayUs())) {
-                slots.slots().forEach(aged -> book.merge(nowUs, aged.slot(), aged.removedUs()));
-                slots.slots().forEach(aged -> catchUp.slot(nowUs, from, aged.slot().key()));
+            emptyIfOutdated(nowUs, slots.awayUs());
+            if (!isOutdated(nowUs, slots.awayUs())) {
+                slots.slots().forEach(aged -> slotStore.merge(nowUs, aged.slot(), aged.removedUs()));
+                slots.slots().forEach(aged -> antiEntropyRequester.slot(nowUs, from, aged.slot().key()));
             }
         }
     }
 
-    private void hear(long nowUs, String from, CopyMessage.Facts told) {
-        long wayUs = neighbours.roundTripUs(from) + touch.waitedUs(nowUs);
-        for (Fact fact : told.facts()) {
-            long ageUs = fact.ageUs() < 0 ? fact.ageUs() : fact.ageUs() + wayUs;
-            Fact here = new Fact(fact.key(), fact.incarnation(), fact.version(), fact.payload(), ageUs);
-            facts.take(nowUs, here, !told.fetched(), out);
-            if (told.fetched()) {
-                catchUp.fact(fact.key());
+    private void receiveEntries(long nowUs, String from, CopyMessage.Facts message) {
+        long transitUs = peers.roundTripUs(from) + catchUpState.waitedUs(nowUs);
+        for (Fact entry : message.facts()) {
+            // A negative age stays as it is, so that the store refuses the entry.
+            long ageUs = entry.ageUs() < 0 ? entry.ageUs() : entry.ageUs() + transitUs;
+            Fact aged = new Fact(entry.key(), entry.incarnation(), entry.version(), entry.payload(), ageUs);
+            entryStore.take(nowUs, aged, !message.fetched(), out);
+            if (message.fetched()) {
+                antiEntropyRequester.fact(entry.key());
             }
         }
     }
 
     /**
-     * Empties a copy that was away for so much longer than another that the other may have forgotten what was removed meanwhile. Half
-     * the memory of removals leaves room for the ages that differ between members.
+     * Empties this replica if it has been behind for so much longer than another member's that the other may have forgotten removals
+     * that this one has missed.
      */
-    private void renew(long nowUs, long theirsUs) {
-        if (outdated(theirsUs, touch.awayUs(nowUs), settings)) {
-            figures.count("copy.emptied");
-            book.clear();
-            touch.emptied(nowUs, theirsUs);
-            catchUp.reset(nowUs);
+    private void emptyIfOutdated(long nowUs, long theirAwayUs) {
+        if (isOutdated(theirAwayUs, catchUpState.awayUs(nowUs), settings)) {
+            counters.count("copy.emptied");
+            slotStore.clear();
+            catchUpState.emptied(nowUs, theirAwayUs);
+            antiEntropyRequester.reset(nowUs);
         }
     }
 
-    /** Whether another's copy is that much older: nothing is taken from it, and it will empty itself. */
-    private boolean outdated(long nowUs, long theirsUs) {
-        return outdated(touch.awayUs(nowUs), theirsUs, settings);
+    /** Returns whether another member's replica is outdated: nothing is taken from it, and the other member will empty it. */
+    private boolean isOutdated(long nowUs, long theirAwayUs) {
+        return isOutdated(catchUpState.awayUs(nowUs), theirAwayUs, settings);
     }
 
-    private static boolean outdated(long newerUs, long olderUs, CopySettings settings) {
-        return olderUs - newerUs > settings.removalUs() / 2;
+    private static boolean isOutdated(long newerAwayUs, long olderAwayUs, CopySettings settings) {
+        // Half the duration for which removals are remembered leaves room for the ages that differ between members.
+        return olderAwayUs - newerAwayUs > settings.removalUs() / 2;
     }
 
-    private void settle(long nowUs) {
-        touch.settle(nowUs);
-        if (touch.level() != toldLevel) {
-            toldLevel = touch.level();
-            out.tell(new CopyAction.Level(toldLevel));
-            if (!toldLevel) {
-                figures.count("touch.lost");
-                catchUp.reset(nowUs);
+    private void updateCaughtUp(long nowUs) {
+        catchUpState.settle(nowUs);
+        if (catchUpState.level() != reportedCaughtUp) {
+            reportedCaughtUp = catchUpState.level();
+            out.tell(new CopyAction.Level(reportedCaughtUp));
+            if (!reportedCaughtUp) {
+                counters.count("touch.lost");
+                antiEntropyRequester.reset(nowUs);
             }
         }
     }
 
-    /** Tells what is to be acted on and was not told like that before; what changes meanwhile waits until this member is level. */
-    private void tellOrders() {
-        if (!touch.level()) {
+    /** Reports the orders in effect that have changed since they were last reported. Changes wait until this member is caught up. */
+    private void reportOrders() {
+        if (!catchUpState.level()) {
             return;
         }
-        for (Order.Key key : book.takeUntold()) {
-            Acting acting = SlotRule.acting(book.slot(key));
-            Acting before = told.get(key);
-            if (acting.chosen() == null) {
-                told.remove(key);
-                if (before != null && before.payload() != null) {
-                    out.tell(new CopyAction.Stands(key, acting));
+        for (Order.Key key : slotStore.takeUntold()) {
+            Acting current = SlotRule.acting(slotStore.slot(key));
+            Acting reported = reportedOrders.get(key);
+            if (current.chosen() == null) {
+                reportedOrders.remove(key);
+                if (reported != null && reported.payload() != null) {
+                    out.tell(new CopyAction.Stands(key, current));
                 }
-            } else if (!acting.equals(before)) {
-                told.put(key, acting);
-                out.tell(new CopyAction.Stands(key, acting));
+            } else if (!current.equals(reported)) {
+                reportedOrders.put(key, current);
+                out.tell(new CopyAction.Stands(key, current));
             }
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/Sizes.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Sizes.java
@@ -4,27 +4,31 @@
 import java.util.List;
 import java.util.function.ToIntFunction;
 
-/** About how many bytes things take in a message (CBOR, with the names of fields), never less; and bounds on what callers give. */
+/** Upper estimates of the encoded size of message contents (CBOR, with field names), and the size limits for orders and entries. */
 public final class Sizes {
-    /** What is put into one message, so that it stays below 32 KiB with all that goes around it. */
+    /** The limit, in bytes, for the content of one message: with its envelope, the message stays below 32 KiB. */
     public static final int MESSAGE = 20 * 1024;
-    /** Into no more parts does an answer go; one that says so is a message gone wrong, and would cost memory by the number alone. */
-    private static final int MOST_PARTS = 1 << 16;
+    /** The limit for the parts of an answer. A higher number comes from a malformed message, and tracking that many would exhaust memory. */
+    private static final int MAX_PARTS = 1 << 16;
+    /** The limit for a topic, in bytes. */
     public static final int TOPIC = 64;
+    /** The limit for a subject, in bytes. */
     public static final int SUBJECT = 256;
+    /** The limit for the id of an order, in bytes. */
     public static final int ID = 64;
+    /** The limit for the payload of an order, in bytes. */
     public static final int PAYLOAD = 4096;
-    /** What a fact may hold at most. */
+    /** The limit for the payload of an entry, in bytes. */
     public static final int FACT = 8192;
 
     private Sizes() { }
 
-    /** Returns whether there is such a part, from zero, among so many. */
+    /** Returns whether {@code part} is a valid number, from zero, among {@code parts} parts. */
     public static boolean part(int part, int parts) {
-        return part >= 0 && part < parts && parts <= MOST_PARTS;
+        return part >= 0 && part < parts && parts <= MAX_PARTS;
     }
 
-    /** Returns the length of a text in UTF-8; one that is absent takes none. */
+    /** Returns the length of a text in UTF-8, in bytes; zero for null. */
     public static int utf8(String text) {
         if (text == null) {
             return 0;
@@ -32,7 +36,7 @@
         int bytes = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            // Each half of a surrogate pair counts two: the pair takes four.
+            // Each half of a surrogate pair counts two bytes, because the pair takes four.
             bytes += c < 0x80 ? 1 : c < 0x800 || Character.isSurrogate(c) ? 2 : 3;
         }
         return bytes;
@@ -42,8 +46,8 @@
         return 32 + utf8(key.topic()) + utf8(key.subject()) + utf8(key.writer());
     }
 
-    public static int of(Fact fact) {
-        return 72 + of(fact.key()) + utf8(fact.payload());
+    public static int of(Fact entry) {
+        return 72 + of(entry.key()) + utf8(entry.payload());
     }
 
     public static int of(Order.Key key) {
@@ -59,20 +63,20 @@
         return bytes + slot.replaced().keySet().stream().mapToInt(id -> 12 + utf8(id)).sum();
     }
 
-    /** Cuts a list so that each part fits a message; one entry that does not fits none and goes alone. */
-    public static <T> List<List<T>> parts(List<T> all, ToIntFunction<T> size) {
+    /** Splits a list into parts that each fit in a message. An element that is too large for any message forms a part of its own. */
+    public static <T> List<List<T>> parts(List<T> elements, ToIntFunction<T> bytesOf) {
         List<List<T>> parts = new ArrayList<>();
         List<T> part = new ArrayList<>();
         int bytes = 0;
-        for (T each : all) {
-            int more = size.applyAsInt(each);
-            if (!part.isEmpty() && bytes + more > MESSAGE) {
+        for (T element : elements) {
+            int elementBytes = bytesOf.applyAsInt(element);
+            if (!part.isEmpty() && bytes + elementBytes > MESSAGE) {
                 parts.add(part);
                 part = new ArrayList<>();
                 bytes = 0;
             }
-            part.add(each);
-            bytes += more;
+            part.add(element);
+            bytes += elementBytes;
         }
         if (!part.isEmpty()) {
             parts.add(part);
--- a/fleet/src/main/java/walkpost/fleet/copy/Slot.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Slot.java
@@ -5,12 +5,14 @@
 import java.util.Objects;
 
 /**
- * All that a copy holds of one key's decided orders, as a value of a join semilattice: see the merge rule in {@code docs/fleet.md}.
+ * The state of a replica for one key: its decided orders, as a value of a join semilattice. See {@link SlotRule} and the merge rule in
+ * {@code docs/fleet.md}.
  *
- * @param heads decided orders that nothing has replaced, by id; more than one: rivals. All have versions above the floor
- * @param replaced ids of orders that are over, the latest ones, each with a version that it is not above: the one before the order's
- *     that replaced it. Whoever knows only the name of what was replaced can say as much
- * @param floor all orders of this version or a lower one are over, whether or not they stand in {@code replaced}
+ * @param heads the decided orders that no other order has replaced, by id; if there are several, they are rivals. Their versions are
+ *     above the floor
+ * @param replaced the ids of the orders that were replaced last, each with an upper bound of its version: one less than the version of
+ *     the order that replaced it. That bound is known even to a replica that has only the id of the replaced order
+ * @param floor the version up to which all orders have been replaced, whether or not {@code replaced} lists them
  */
 public record Slot(Order.Key key, List<Order> heads, Map<String, Long> replaced, long floor) {
     public Slot {
@@ -19,12 +21,12 @@
         replaced = Map.copyOf(replaced);
     }
 
-    /** Returns a slot in which no order ever was. */
+    /** Returns a slot without history. */
     public static Slot empty(Order.Key key) {
         return new Slot(key, List.of(), Map.of(), 0);
     }
 
-    /** Returns whether nothing is known of the key; on disk such a slot takes the key's place away. */
+    /** Returns whether no order is known for the key, present or replaced. On disk, such a slot removes the key. */
     public boolean none() {
         return heads.isEmpty() && replaced.isEmpty() && floor == 0;
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/SlotRule.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/SlotRule.java
@@ -9,37 +9,38 @@
 import java.util.stream.Collectors;
 
 /**
- * The rule by which copies of a slot that differ become one, and what follows from a slot; pure. The join is that of an
- * observed-remove set with a version vector of one entry (Bieniusa et al., "An optimized conflict-free replicated set", 2012): what a
- * copy has seen end is a set that only grows, {@code replaced} and all up to {@code floor}; its union with the other's is taken off the
- * union of heads.
+ * Pure functions on slots: the rule that merges differing replicas of a slot, and what follows from the merged state. The join is that of
+ * an observed-remove set with a version vector of one component (Bieniusa et al., "An optimized conflict-free replicated set", 2012).
+ * The replaced orders of a replica, {@code replaced} and all up to {@code floor}, are a set that only grows; the join removes the union
+ * of both sets from the union of the heads.
  */
 public final class SlotRule {
-    /** How many ids that are over a slot remembers one by one; older ones lie under its floor. */
-    static final int REMEMBERED = 64;
-    /** The topic in which rivals act together: a server is excluded if any of them excludes it. */
+    /** The number of replaced ids that a slot lists; older ones are covered by its floor. */
+    static final int MAX_REPLACED_IDS = 64;
+    /** The topic whose rivals take effect together: a server is excluded if any of them excludes it. */
     static final String EXCLUSION = "exclusion";
 
-    private static final Comparator<String> TEXT = Comparator.nullsFirst(Comparator.naturalOrder());
-    /** Of two orders that a faulty or forgetful caller gave one id, all copies keep the same. */
-    private static final Comparator<Order> GREATER = Comparator.comparingLong(Order::version)
-            .thenComparing(Order::payload, TEXT)
-            .thenComparing(Order::before, TEXT)
+    private static final Comparator<String> NULL_FIRST = Comparator.nullsFirst(Comparator.naturalOrder());
+    /** Orders with the same id, which a faulty caller may give: all replicas keep the greater one. */
+    private static final Comparator<Order> BY_CONTENT = Comparator.comparingLong(Order::version)
+            .thenComparing(Order::payload, NULL_FIRST)
+            .thenComparing(Order::before, NULL_FIRST)
             .thenComparing(order -> String.join("\n", order.replaces()))
             .thenComparing(order -> order.issuer().name())
             .thenComparingLong(order -> order.issuer().incarnation());
-    private static final Comparator<Order> CHOSEN = Comparator.comparingLong(Order::version).thenComparing(Order::id);
+    /** Orders rivals: all replicas choose the greatest. */
+    private static final Comparator<Order> BY_VERSION_AND_ID = Comparator.comparingLong(Order::version).thenComparing(Order::id);
 
     private SlotRule() { }
 
-    /** Returns the join of two copies of one slot. */
+    /** Returns the join of two replicas of a slot. */
     public static Slot join(Slot one, Slot other) {
         TreeMap<String, Order> heads = new TreeMap<>();
         TreeMap<String, Long> replaced = new TreeMap<>();
         for (Slot slot : List.of(one, other)) {
             slot.replaced().forEach((id, upTo) -> replaced.merge(id, upTo, Math::max));
             for (Order head : slot.heads()) {
-                heads.merge(head.id(), head, (a, b) -> GREATER.compare(a, b) >= 0 ? a : b);
+                heads.merge(head.id(), head, (a, b) -> BY_CONTENT.compare(a, b) >= 0 ? a : b);
                 head.replaces().forEach(id -> replaced.merge(id, head.version() - 1, Math::max));
             }
         }
@@ -49,49 +50,49 @@
         return new Slot(one.key(), List.copyOf(heads.values()), replaced, floor);
     }
 
-    /** Returns a slot in the form that {@link #join} gives, whoever made it up. */
+    /** Returns a slot in the form that {@link #join} returns, whatever its origin. */
     static Slot normal(Slot slot) {
         return join(slot, Slot.empty(slot.key()));
     }
 
-    /** Returns the slot once an order is decided in it. */
+    /** Returns the slot with a decided order added. */
     public static Slot with(Slot slot, Order order) {
         return join(slot, new Slot(slot.key(), List.of(order), Map.of(), 0));
     }
 
-    /** The floor that leaves no more than {@link #REMEMBERED} ids above it. */
-    private static long floor(long floor, Collection<Long> upTo) {
-        return upTo.stream().filter(version -> version > floor).sorted(Comparator.reverseOrder()).skip(REMEMBERED).findFirst()
-                .orElse(floor);
+    /** Returns the lowest floor, from {@code floor} up, that leaves at most {@link #MAX_REPLACED_IDS} ids above it. */
+    private static long floor(long floor, Collection<Long> replacedVersions) {
+        return replacedVersions.stream().filter(version -> version > floor).sorted(Comparator.reverseOrder()).skip(MAX_REPLACED_IDS)
+                .findFirst().orElse(floor);
     }
 
-    /** Returns the version of an order that replaces all that stands. */
+    /** Returns the version of an order that replaces all heads. */
     static long next(Slot slot) {
         return slot.heads().stream().mapToLong(Order::version).reduce(slot.floor(), Math::max) + 1;
     }
 
-    /** Returns the ids of the heads, in order. */
+    /** Returns the ids of the heads, sorted. */
     static List<String> ids(Slot slot) {
         return slot.heads().stream().map(Order::id).sorted().toList();
     }
 
-    /** Returns the head with this id, or null. */
+    /** Returns the head with an id, or null if there is none. */
     public static Order head(Slot slot, String id) {
         return slot.heads().stream().filter(head -> head.id().equals(id)).findFirst().orElse(null);
     }
 
-    /** Returns whether nothing stands, so that all that is held is the memory of a removal. */
+    /** Returns whether no order is in force, so that the slot holds at most the memory of a removal. */
     public static boolean removed(Slot slot) {
         return slot.heads().stream().allMatch(head -> head.payload() == null);
     }
 
-    /** Returns what to act on: see the table in {@code docs/fleet.md}. */
+    /** Returns the order in effect, by the table in {@code docs/fleet.md}. */
     public static Acting acting(Slot slot) {
         if (slot.heads().isEmpty()) {
             return new Acting(null, null, List.of());
         }
         List<Order> heads = new ArrayList<>(slot.heads());
-        heads.sort(CHOSEN.reversed());
+        heads.sort(BY_VERSION_AND_ID.reversed());
         Order chosen = heads.get(0);
         if (heads.size() == 1) {
             return new Acting(chosen.payload(), chosen, List.of());
@@ -102,16 +103,19 @@
         return new Acting(payload, chosen, heads.subList(1, heads.size()));
     }
 
-    /** Returns what stands, for the text of an error. */
+    /** Describes the orders in force, for an error message. */
     static String words(Slot slot) {
         return switch (slot.heads().size()) {
             case 0 -> "nothing";
             case 1 -> slot.heads().get(0).id();
-            default -> "rivals " + String.join(" and ", ids(slot)) + ", to be settled by an order that replaces whatever stands";
+            default -> "rivals " + String.join(" and ", ids(slot)) + ", to be settled by an order that replaces them all";
         };
     }
 
-    /** Returns a hash of all that a slot holds, the same for equal slots on all members. */
+    /**
+     * Returns a hash of the whole content of a slot, the same for equal slots on all members. Members compare these hashes, so the text
+     * that is hashed must not change; it includes {@link walkpost.fleet.member.Life#toString}.
+     */
     public static long hash(Slot slot) {
         List<String> words = new ArrayList<>();
         for (Order head : slot.heads().stream().sorted(Comparator.comparing(Order::id)).toList()) {
@@ -127,18 +131,19 @@
     }
 
     /**
-     * Returns slots whose join is this one, each small enough for a message: rivals may be too many for one. What is over comes in
-     * the last part, with the head of this id if there is one, so that nothing is taken for over before its successor is known.
+     * Splits a slot whose rivals are too many for one message into slots that fit and whose join is the slot. The last part holds the
+     * replaced ids, so that a receiver does not drop an order before it knows the successor, and the head with id {@code lastId} if there
+     * is one.
      */
-    public static List<Slot> parts(Slot slot, String last) {
+    public static List<Slot> parts(Slot slot, String lastId) {
         if (slot.heads().size() < 2 || Sizes.of(slot) <= Sizes.MESSAGE) {
             return List.of(slot);
         }
-        Order end = head(slot, last) == null ? slot.heads().get(0) : head(slot, last);
+        Order lastHead = head(slot, lastId) == null ? slot.heads().get(0) : head(slot, lastId);
         List<Slot> parts = new ArrayList<>();
-        slot.heads().stream().filter(head -> head != end)
+        slot.heads().stream().filter(head -> head != lastHead)
                 .forEach(head -> parts.add(new Slot(slot.key(), List.of(head), Map.of(), 0)));
-        parts.add(new Slot(slot.key(), List.of(end), slot.replaced(), slot.floor()));
+        parts.add(new Slot(slot.key(), List.of(lastHead), slot.replaced(), slot.floor()));
         return parts;
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Spread.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Spread.java
@@ -7,46 +7,47 @@
 import java.util.Objects;
 
 /**
- * Which facts are news, and how often they have still to be told: rumour mongering with a count, after Demers et al., "Epidemic
- * algorithms for replicated database maintenance" (1987). Each member tells a fact to {@code fanOut} others at a time, and some log n
- * times in all; those whom all of it misses find it by comparing.
+ * Gossips new entries: owns the keys of the entries that are still to be sent, and in how many more rounds. This is rumour mongering with
+ * a counter, after Demers et al., "Epidemic algorithms for replicated database maintenance" (1987): each member sends a new entry to
+ * {@code fanOut} others at a time, in total to a multiple of log n. Members that gossip misses get the entry by anti-entropy.
  */
 final class Spread {
-    /** With c log n tellings by each of n members, one that is told at random is missed with a chance of n to the power of -c. */
-    private static final double ENOUGH = 1.5;
+    /** If each of n members sends an entry c log n times, gossip misses a given member with probability n to the power of -c. */
+    private static final double SENDS_PER_LOG_MEMBERS = 1.5;
 
     private final CopySettings settings;
-    private final Neighbours neighbours;
-    private final Map<Fact.Key, Integer> left = new LinkedHashMap<>();
+    private final Neighbours peers;
+    private final Map<Fact.Key, Integer> roundsLeft = new LinkedHashMap<>();
 
-    Spread(CopySettings settings, Neighbours neighbours) {
+    Spread(CopySettings settings, Neighbours peers) {
         this.settings = settings;
-        this.neighbours = neighbours;
+        this.peers = peers;
     }
 
-    /** A fact is news from now on, or again. */
+    /** Queues an entry for gossip, or restarts its rounds. */
     void add(Fact.Key key) {
-        int others = neighbours.alive().size();
-        left.put(key, others == 0 ? 1 : (int) Math.ceil(ENOUGH * Math.log(1 + others) / settings.fanOut()));
+        int others = peers.alive().size();
+        roundsLeft.put(key, others == 0 ? 1 : (int) Math.ceil(SENDS_PER_LOG_MEMBERS * Math.log(1 + others) / settings.fanOut()));
     }
 
-    /** Tells one fact of this member's own to some others at once. */
-    void first(long nowUs, Fact.Key key, FactBook facts, Outbox out) {
-        Fact fact = facts.get(key, nowUs);
-        neighbours.draw(settings.fanOut()).forEach(to -> out.send(to, new CopyMessage.Facts(false, List.of(fact))));
+    /** Sends an entry that this member has just written to some members, without waiting for the next round. */
+    void first(long nowUs, Fact.Key key, FactBook entryStore, Outbox out) {
+        Fact entry = entryStore.get(key, nowUs);
+        peers.draw(settings.fanOut()).forEach(to -> out.send(to, new CopyMessage.Facts(false, List.of(entry))));
     }
 
-    /** Tells all that is news to some others. */
-    void round(long nowUs, FactBook facts, Outbox out) {
-        if (left.isEmpty()) {
+    /** Sends all queued entries to some members. */
+    void round(long nowUs, FactBook entryStore, Outbox out) {
+        if (roundsLeft.isEmpty()) {
             return;
         }
-        List<Fact> news = new ArrayList<>(left.keySet().stream().map(key -> facts.get(key, nowUs)).filter(Objects::nonNull).toList());
-        List<List<Fact>> parts = Sizes.parts(news, Sizes::of);
-        for (String to : neighbours.draw(settings.fanOut())) {
+        List<Fact> entries =
+                new ArrayList<>(roundsLeft.keySet().stream().map(key -> entryStore.get(key, nowUs)).filter(Objects::nonNull).toList());
+        List<List<Fact>> parts = Sizes.parts(entries, Sizes::of);
+        for (String to : peers.draw(settings.fanOut())) {
             parts.forEach(part -> out.send(to, new CopyMessage.Facts(false, part)));
         }
-        left.replaceAll((key, times) -> times - 1);
-        left.values().removeIf(times -> times <= 0);
+        roundsLeft.replaceAll((key, rounds) -> rounds - 1);
+        roundsLeft.values().removeIf(rounds -> rounds <= 0);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Touch.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Touch.java
@@ -4,133 +4,140 @@
 import java.util.TreeMap;
 
 /**
- * Whether this member is in touch, and level: owns when each configured member was last heard, with whom the copy has been compared
- * since touch was last lost, and when this member was last level.
+ * The catch-up state of this member's replica. Owns the time when each configured member was last heard from, the members with which the
+ * replica has been compared since it was last known to be behind, and the time when it was last caught up.
  *
- * <p>A member that starts is not level before a promise of its former life, of which it knows nothing, has run out.
+ * <p>A member is caught up while it hears from a majority, once its replica has been compared with a majority. A member that starts is
+ * not caught up before any promise of its previous life, of which it knows nothing, has expired.
  */
 final class Touch {
-    /** A copy that never was level is older than any other, and by so much that differences do not overflow. */
+    /** The age of a replica that was never caught up: older than any other, yet so small that differences do not overflow. */
     static final long NEVER_US = Long.MAX_VALUE / 4;
 
-    /** The part of a gap from which on what comes in may have waited meanwhile. Ages are upper bounds: more is right, less is not. */
-    private static final long WAITING = 10;
+    /**
+     * A step of the clock above gapUs divided by this number counts as a pause, during which arriving messages may have waited in a
+     * socket. The ages of entries are upper bounds, so that adding a pause too many is correct, and one too few is not.
+     */
+    private static final long PAUSES_PER_GAP = 10;
 
     private final CopySettings settings;
-    private final Neighbours neighbours;
-    private final Figures figures;
-    private final Map<String, Long> heard = new TreeMap<>();
-    private final Map<String, Long> compared = new TreeMap<>();
+    private final Neighbours peers;
+    private final Figures counters;
+    private final Map<String, Long> heardAtUs = new TreeMap<>();
+    private final Map<String, Long> comparedAtUs = new TreeMap<>();
     private boolean started;
-    private boolean level;
+    private boolean caughtUp;
     private long startUs;
     private long lastUs;
-    private long inTouchUs;
-    private long jumpUs;
-    private long jumpedAtUs;
+    private long lastCaughtUpUs;
+    private long pauseUs;
+    private long pauseEndUs;
 
-    Touch(CopySettings settings, Neighbours neighbours, Figures figures) {
-        this.figures = figures;
+    Touch(CopySettings settings, Neighbours peers, Figures counters) {
+        this.counters = counters;
         this.settings = settings;
-        this.neighbours = neighbours;
+        this.peers = peers;
     }
 
-    /** Takes the time of an event; returns whether touch begins anew: with the first event, and after standing still. */
+    /** Records the time of an event. Returns whether catch-up has to start anew: at the first event, and after a suspension. */
     boolean clock(long nowUs) {
         if (!started) {
             started = true;
             startUs = nowUs;
-            inTouchUs = nowUs - NEVER_US;
-            jumpedAtUs = nowUs - NEVER_US;
+            lastCaughtUpUs = nowUs - NEVER_US;
+            pauseEndUs = nowUs - NEVER_US;
             lastUs = nowUs;
             return true;
         }
-        long step = nowUs - lastUs;
+        long stepUs = nowUs - lastUs;
         lastUs = nowUs;
-        if (level) {
-            inTouchUs = nowUs - step;
+        if (caughtUp) {
+            lastCaughtUpUs = nowUs - stepUs;
         }
-        if (step > settings.gapUs() / WAITING) {
-            boolean again = nowUs - step - jumpedAtUs <= settings.gapUs();
-            // Stops in a row add up, as between them little may have been read; mere slowness does not, or ages would grow for ever.
-            jumpUs = !again ? step : step > settings.gapUs() ? jumpUs + step : Math.max(jumpUs, step);
-            jumpedAtUs = nowUs;
+        if (stepUs > settings.gapUs() / PAUSES_PER_GAP) {
+            boolean followsPause = nowUs - stepUs - pauseEndUs <= settings.gapUs();
+            // Suspensions in a row add up, because few messages may have been read between them. Short pauses do not add up, because
+            // then the ages on a member that is merely slow would grow for ever.
+            pauseUs = !followsPause ? stepUs : stepUs > settings.gapUs() ? pauseUs + stepUs : Math.max(pauseUs, stepUs);
+            pauseEndUs = nowUs;
         }
-        if (step <= settings.gapUs()) {
+        if (stepUs <= settings.gapUs()) {
             return false;
         }
-        figures.count("touch.stood_still");
-        lose();
+        counters.count("touch.stood_still");
+        fallBehind();
         return true;
     }
 
-    /** The copy came from disk: it is as old as the time away. */
+    /** Records that the replica was restored from disk, where it was last in use {@code awayUs} ago. */
     void restored(long nowUs, long awayUs) {
-        inTouchUs = nowUs - Math.min(Math.max(awayUs, 0), NEVER_US);
+        lastCaughtUpUs = nowUs - Math.min(Math.max(awayUs, 0), NEVER_US);
     }
 
+    /** Records that a message from a member has arrived. */
     void heard(String from, long nowUs) {
-        if (neighbours.isConfigured(from)) {
-            heard.put(from, nowUs);
+        if (peers.isConfigured(from)) {
+            heardAtUs.put(from, nowUs);
         }
     }
 
-    /** Returns when a member was last heard; long ago where it never was. */
+    /** Returns the time when a member was last heard from, or a time before any possible message if it never was. */
     long heardUs(String name) {
-        return heard.getOrDefault(name, startUs - NEVER_US);
+        return heardAtUs.getOrDefault(name, startUs - NEVER_US);
     }
 
-    /** The copy has been found equal to that member's, or has taken in all that was there. */
+    /** Records that the replica equals a member's, or has taken in all that the member's has. */
     void compared(String with, long nowUs) {
-        if (neighbours.isConfigured(with)) {
-            compared.put(with, nowUs);
+        if (peers.isConfigured(with)) {
+            comparedAtUs.put(with, nowUs);
         }
     }
 
-    /** Settles whether this member is level; returns whether that has changed. */
+    /** Updates whether the replica is caught up, and returns whether that has changed. */
     boolean settle(long nowUs) {
-        boolean inTouch = heard.values().stream().filter(at -> nowUs - at <= settings.silenceUs()).count() >= neighbours.othersNeeded();
-        if (level) {
-            if (!inTouch) {
-                lose();
+        boolean hearsMajority =
+                heardAtUs.values().stream().filter(at -> nowUs - at <= settings.silenceUs()).count() >= peers.othersNeeded();
+        if (caughtUp) {
+            if (!hearsMajority) {
+                fallBehind();
             }
-            return !level;
+            return !caughtUp;
         }
-        // What was compared long ago, before a silence perhaps, does not count.
-        compared.values().removeIf(at -> nowUs - at > settings.silenceUs());
-        boolean alone = neighbours.configuredSize() == 1 && neighbours.othersNeeded() == 0;
-        boolean quiet = alone || nowUs - startUs > settings.promiseUs();
-        level = inTouch && quiet && compared.size() >= neighbours.othersNeeded();
-        return level;
+        // An old comparison does not count: the member may have been silent since then.
+        comparedAtUs.values().removeIf(at -> nowUs - at > settings.silenceUs());
+        boolean alone = peers.configuredSize() == 1 && peers.othersNeeded() == 0;
+        boolean promisesExpired = alone || nowUs - startUs > settings.promiseUs();
+        caughtUp = hearsMajority && promisesExpired && comparedAtUs.size() >= peers.othersNeeded();
+        return caughtUp;
     }
 
     boolean level() {
-        return level;
+        return caughtUp;
     }
 
-    /** Returns with how many configured members the copy is compared, this one counted. */
+    /** Returns the number of replicas, this one included, with which the replica has been compared. */
     int compared() {
-        return compared.size() + neighbours.majority() - neighbours.othersNeeded();
+        return comparedAtUs.size() + peers.majority() - peers.othersNeeded();
     }
 
-    /** Returns how long ago this copy was last level: how old it is. */
+    /** Returns the time since the replica was last caught up, which is zero while it is. */
     long awayUs(long nowUs) {
-        return level ? 0 : nowUs - inTouchUs;
+        return caughtUp ? 0 : nowUs - lastCaughtUpUs;
     }
 
-    /** The copy has been emptied: from now on it is no older than the one it is filled from. */
+    /** Records that the replica has been emptied, so that it is as old as the replica that it is filled from. */
     void emptied(long nowUs, long awayUs) {
-        inTouchUs = nowUs - awayUs;
-        compared.clear();
+        lastCaughtUpUs = nowUs - awayUs;
+        comparedAtUs.clear();
     }
 
-    /** Returns what has to be added to the age of what comes in: it may have waited in a socket while this member stood still. */
+    /** Returns the time to add to the ages of arriving entries, because they may have waited in a socket while this member was paused. */
     long waitedUs(long nowUs) {
-        return nowUs - jumpedAtUs <= settings.gapUs() ? jumpUs : 0;
+        return nowUs - pauseEndUs <= settings.gapUs() ? pauseUs : 0;
     }
 
-    private void lose() {
-        level = false;
-        compared.clear();
+    private void fallBehind() {
+        caughtUp = false;
+        comparedAtUs.clear();
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
@@ -302,7 +302,7 @@
             cluster.run(10);
         }
         assertThat(cluster.node("a").acknowledged).hasSize(70);
-        assertThat(cluster.node("b").disk.get(PLACEMENT).replaced()).hasSize(SlotRule.REMEMBERED);
+        assertThat(cluster.node("b").disk.get(PLACEMENT).replaced()).hasSize(SlotRule.MAX_REPLACED_IDS);
         for (int i = 0; i < 7; i++) {
             Order rival = new Order(PLACEMENT, "r" + i, 70, List.of(), payload, payload, new Life("z", 1));
             cluster.node(i % 2 == 0 ? "b" : "c").take(new CopyEvent.Received("z",
--- a/fleet/src/test/java/walkpost/fleet/copy/SlotRuleTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/SlotRuleTest.java
@@ -85,7 +85,7 @@
     void theLatestOrderIsNeverUnderTheFloor(@ForAll long seed, @ForAll @IntRange(min = 1, max = 250) int orders) {
         Slot all = copies(seed, orders, 4).stream().reduce(Slot.empty(KEY), SlotRule::join);
         assertThat(all.none() || !all.heads().isEmpty()).isTrue();
-        assertThat(all.replaced()).hasSizeLessThanOrEqualTo(SlotRule.REMEMBERED);
+        assertThat(all.replaced()).hasSizeLessThanOrEqualTo(SlotRule.MAX_REPLACED_IDS);
         assertThat(all.heads()).allMatch(head -> head.version() > all.floor());
     }
 
