--- a/fleet/src/main/java/walkpost/fleet/copy/Sizes.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Sizes.java
@@ -8,7 +8,7 @@
 public final class Sizes {
     /** The limit, in bytes, for the content of one message: with its envelope, the message stays below 32 KiB. */
     public static final int MESSAGE = 20 * 1024;
-    /** The limit for the parts of an answer. A higher number comes from a malformed message, and tracking that many would exhaust memory. */
+    /** The limit for the parts of an answer. A higher number comes from a malformed message, and tracking that many costs memory. */
     private static final int MAX_PARTS = 1 << 16;
     /** The limit for a topic, in bytes. */
     public static final int TOPIC = 64;
--- a/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
@@ -11,47 +11,50 @@
 import walkpost.fleet.FleetException;
 import walkpost.fleet.member.Life;
 
+/** Tests how members decide, acknowledge and store orders, under message loss, partitions, suspensions and restarts. */
 class OrdersTest {
     private static final Order.Key EXCLUSION = new Order.Key(SlotRule.EXCLUSION, "s1");
     private static final Order.Key PLACEMENT = new Order.Key("placement", "l1");
 
-    private static Cluster level(int size) {
-        return level(new Cluster(size));
+    /** Returns a cluster of which all members have caught up. */
+    private static ShardCluster caughtUp(int size) {
+        return caughtUp(new ShardCluster(size));
     }
 
-    private static Cluster level(Cluster cluster) {
+    private static ShardCluster caughtUp(ShardCluster cluster) {
         cluster.run(8_000);
         assertThat(cluster.nodes.values()).allMatch(node -> node.shard.level());
         return cluster;
     }
 
-    private static void stands(Cluster cluster, Order.Key key, String payload, String... heads) {
+    /** Asserts that all members hold the same heads for a key and act on the same payload. */
+    private static void assertInEffect(ShardCluster cluster, Order.Key key, String payload, String... heads) {
         assertThat(cluster.nodes.values()).allSatisfy(node -> {
             assertThat(node.heads(key)).containsExactly(heads);
             assertThat(node.shard.acting().get(key).payload()).isEqualTo(payload);
-            assertThat(node.stands.get(key).get(node.stands.get(key).size() - 1).payload()).isEqualTo(payload);
+            assertThat(node.effectiveOrders.get(key).get(node.effectiveOrders.get(key).size() - 1).payload()).isEqualTo(payload);
         });
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 12, 100})
-    void anOrderIsAcknowledgedAndStandsWithAll(int size) {
-        Cluster cluster = level(size);
-        Cluster.Node first = cluster.nodes.values().iterator().next();
+    void anAcknowledgedOrderIsInEffectOnAllMembers(int size) {
+        ShardCluster cluster = caughtUp(size);
+        ShardCluster.Node first = cluster.nodes.values().iterator().next();
         first.order(EXCLUSION, "o1", "", "{}");
         cluster.run(10);
         assertThat(first.acknowledged).containsKey("o1");
-        stands(cluster, EXCLUSION, "{}", "o1");
+        assertInEffect(cluster, EXCLUSION, "{}", "o1");
         first.order(EXCLUSION, "o2", "o1", null);
         cluster.run(10);
-        stands(cluster, EXCLUSION, null, "o2");
+        assertInEffect(cluster, EXCLUSION, null, "o2");
         assertThat(first.disk.get(EXCLUSION).replaced()).containsKey("o1");
     }
 
     @Test
-    void anOrderRefusedForWantOfAMajorityNamesTheMissingAndIsNeverInForce() {
-        Cluster cluster = level(3);
-        cluster.cut("b", "c");
+    void anOrderWithoutAMajorityIsRefusedWithTheMissingMembersAndNeverTakesEffect() {
+        ShardCluster cluster = caughtUp(3);
+        cluster.isolate("b", "c");
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(1_100);
         assertThat(cluster.node("a").refused.get("o1")).isInstanceOf(FleetException.NoMajority.class)
@@ -62,8 +65,8 @@
     }
 
     @Test
-    void promisesWhoseAnswersWereLostNeverBringAnOrderIntoForceAndAreFreed() {
-        Cluster cluster = level(3);
+    void lostPromisesNeverBringAnOrderIntoForceAndAreReleased() {
+        ShardCluster cluster = caughtUp(3);
         cluster.lost = flight -> flight.message() instanceof CopyMessage.Promised;
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(1_100);
@@ -71,19 +74,19 @@
         cluster.heal();
         cluster.node("b").order(EXCLUSION, "o2", "", "{2}");
         cluster.run(1_000);
-        stands(cluster, EXCLUSION, "{2}", "o2");
+        assertInEffect(cluster, EXCLUSION, "{2}", "o2");
     }
 
     @Test
-    void theSameOrderSentAgainIsCarriedOutOnceAndAnsweredAnew() {
-        Cluster cluster = level(3);
+    void anOrderSentAgainIsCarriedOutOnceAndAnsweredAgain() {
+        ShardCluster cluster = caughtUp(3);
         for (String name : List.of("a", "a", "c")) {
             cluster.node(name).order(EXCLUSION, "o1", "", "{}");
             cluster.run(100);
             assertThat(cluster.node(name).acknowledged).containsKey("o1");
         }
-        stands(cluster, EXCLUSION, "{}", "o1");
-        assertThat(cluster.nodes.values()).allMatch(node -> node.stands.get(EXCLUSION).size() == 1);
+        assertInEffect(cluster, EXCLUSION, "{}", "o1");
+        assertThat(cluster.nodes.values()).allMatch(node -> node.effectiveOrders.get(EXCLUSION).size() == 1);
         cluster.node("a").order(EXCLUSION, "o1", "", "{other}");
         assertThat(cluster.node("a").refused.get("o1")).isInstanceOf(FleetException.BadCall.class);
         cluster.node("a").order(EXCLUSION, "o2", "o1", null);
@@ -93,8 +96,8 @@
     }
 
     @Test
-    void anOrderOnWhatNoLongerStandsIsRefused() {
-        Cluster cluster = level(3);
+    void anOrderThatReplacesAnOrderNoLongerInForceIsRefused() {
+        ShardCluster cluster = caughtUp(3);
         cluster.node("a").order(PLACEMENT, "o1", "", "1");
         cluster.run(100);
         cluster.node("b").order(PLACEMENT, "o2", "", "2");
@@ -103,24 +106,24 @@
         cluster.run(100);
         cluster.node("b").order(PLACEMENT, "o4", null, null);
         assertThat(cluster.node("b").refused.get("o4")).isInstanceOf(FleetException.BadCall.class);
-        stands(cluster, PLACEMENT, null, "o3");
+        assertInEffect(cluster, PLACEMENT, null, "o3");
     }
 
     @Test
-    void ofTwoOrdersThatCrossAtMostOneIsAcknowledged() {
-        Cluster cluster = level(5);
+    void ofTwoConcurrentOrdersAtMostOneIsAcknowledged() {
+        ShardCluster cluster = caughtUp(5);
         cluster.node("a").order(PLACEMENT, "x", "", "1");
         cluster.node("b").order(PLACEMENT, "y", "", "2");
         cluster.run(3_000);
         assertThat(cluster.node("a").acknowledged.size() + cluster.node("b").acknowledged.size()).isLessThanOrEqualTo(1);
-        FleetException why = cluster.node("a").refused.getOrDefault("x", cluster.node("b").refused.get("y"));
-        assertThat(why).isInstanceOfAny(FleetException.Busy.class, FleetException.Overtaken.class);
+        FleetException failure = cluster.node("a").refused.getOrDefault("x", cluster.node("b").refused.get("y"));
+        assertThat(failure).isInstanceOfAny(FleetException.Busy.class, FleetException.Overtaken.class);
         assertThat(cluster.nodes.values()).allMatch(node -> node.heads(PLACEMENT).size() <= 1);
     }
 
     @Test
-    void anOrderDecidedButNotConfirmedIsUncertainAndAnsweredWhenSentAgain() {
-        Cluster cluster = level(3);
+    void aDecidedOrderWithoutConfirmationsIsUncertainAndAcknowledgedWhenSentAgain() {
+        ShardCluster cluster = caughtUp(3);
         cluster.lost = flight -> flight.message() instanceof CopyMessage.Held;
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(2_100);
@@ -129,64 +132,64 @@
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(100);
         assertThat(cluster.node("a").acknowledged).containsKey("o1");
-        stands(cluster, EXCLUSION, "{}", "o1");
+        assertInEffect(cluster, EXCLUSION, "{}", "o1");
     }
 
     @Test
-    void aCoordinatorStoppedWithItsPromisesUnreadDecidesNothing() {
-        Cluster cluster = level(3);
+    void aCoordinatorSuspendedBeforeItReadsItsPromisesDecidesNothing() {
+        ShardCluster cluster = caughtUp(3);
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
-        cluster.stop("a");
+        cluster.suspend("a");
         cluster.run(10_000);
-        cluster.go("a");
+        cluster.resume("a");
         cluster.run(10_000);
         assertThat(cluster.node("a").refused.get("o1")).isInstanceOf(FleetException.NoMajority.class);
         assertThat(cluster.nodes.values()).allMatch(node -> node.shard.slots().isEmpty() && node.shard.level());
     }
 
     @Test
-    void aCoordinatorStoppedBeforeItTellsWhatItDecidedLeavesRivalsUntilAnOperatorSettlesThem() {
-        Cluster cluster = level(3);
-        Cluster.Node a = cluster.node("a");
+    void aCoordinatorSuspendedBeforeItSendsItsDecisionLeavesRivalsUntilAnOperatorSettlesThem() {
+        ShardCluster cluster = caughtUp(3);
+        ShardCluster.Node a = cluster.node("a");
         a.order(PLACEMENT, "o0", "", "0");
         a.order(EXCLUSION, "e0", "", "{}");
         cluster.run(100);
         a.order(PLACEMENT, "o1", "o0", "1");
         a.order(EXCLUSION, "e1", "e0", "{1}");
         cluster.run(1);
-        a.holdActions = true;
+        a.actionsPaused = true;
         cluster.run(10);
         assertThat(a.heads(PLACEMENT)).containsExactly("o1");
-        cluster.stop("a");
+        cluster.suspend("a");
         cluster.run(5_000);
         cluster.node("b").order(PLACEMENT, "o2", "o0", "2");
         cluster.node("b").order(EXCLUSION, "e2", "e0", null);
         cluster.run(1_000);
         assertThat(cluster.node("b").acknowledged).containsKeys("o2", "e2");
-        a.holdActions = false;
-        a.carryOut();
-        cluster.go("a");
+        a.actionsPaused = false;
+        a.carryOutActions();
+        cluster.resume("a");
         cluster.run(10_000);
         assertThat(a.refused.get("o1")).isInstanceOf(FleetException.Uncertain.class);
-        stands(cluster, PLACEMENT, "0", "o1", "o2");
-        stands(cluster, EXCLUSION, "{1}", "e1", "e2");
+        assertInEffect(cluster, PLACEMENT, "0", "o1", "o2");
+        assertInEffect(cluster, EXCLUSION, "{1}", "e1", "e2");
         cluster.node("c").order(PLACEMENT, "o3", "o2", "3");
         assertThat(cluster.node("c").refused.get("o3")).isInstanceOf(FleetException.Overtaken.class).hasMessageContaining("o1 and o2");
         cluster.node("c").order(PLACEMENT, "o4", null, "4");
         cluster.run(100);
-        stands(cluster, PLACEMENT, "4", "o4");
+        assertInEffect(cluster, PLACEMENT, "4", "o4");
     }
 
     @Test
-    void aHolderThatStoodStillPromisesNothingUntilItHasComparedItself() {
-        Cluster cluster = level(3);
-        cluster.cut("c");
-        cluster.stop("b");
+    void anAcceptorThatWasSuspendedPromisesNothingUntilItHasCaughtUp() {
+        ShardCluster cluster = caughtUp(3);
+        cluster.isolate("c");
+        cluster.suspend("b");
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(900);
         assertThat(cluster.node("b").inbox).isNotEmpty();
         cluster.nowUs += 2_000_000;
-        cluster.go("b");
+        cluster.resume("b");
         assertThat(cluster.node("b").shard.level()).isFalse();
         cluster.run(200);
         assertThat(cluster.node("a").refused).containsKey("o1");
@@ -194,32 +197,32 @@
     }
 
     @Test
-    void aMemberThatWasAwayCatchesUpAndWhatWasRemovedDoesNotComeBack() {
-        Cluster cluster = level(3);
+    void anIsolatedMemberCatchesUpAndRemovedOrdersDoNotComeBack() {
+        ShardCluster cluster = caughtUp(3);
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(100);
-        cluster.cut("c");
+        cluster.isolate("c");
         cluster.node("a").order(EXCLUSION, "o2", "o1", null);
         for (int i = 0; i < 300; i++) {
             cluster.node("b").order(new Order.Key("placement", "l" + i), "p" + i, "", "x".repeat(200));
         }
         cluster.run(8_000);
         assertThat(cluster.node("c").shard.level()).isFalse();
-        assertThat(cluster.node("c").stands.get(EXCLUSION)).hasSize(1);
+        assertThat(cluster.node("c").effectiveOrders.get(EXCLUSION)).hasSize(1);
         cluster.heal();
         cluster.run(4_000);
         assertThat(cluster.node("c").shard.level()).isTrue();
         assertThat(cluster.node("c").shard.slots()).hasSize(301);
-        stands(cluster, EXCLUSION, null, "o2");
+        assertInEffect(cluster, EXCLUSION, null, "o2");
     }
 
     @Test
-    void aMemberThatWasAwayForLongerThanRemovalsAreRememberedEmptiesItsCopy() {
-        Cluster cluster = level(new Cluster(3, CopySettings.usual().withRemovals(10, 20_000_000), 3));
+    void aMemberIsolatedForLongerThanRemovalsAreRememberedEmptiesItsReplica() {
+        ShardCluster cluster = caughtUp(new ShardCluster(3, CopySettings.usual().withRemovals(10, 20_000_000), 3));
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.node("a").order(PLACEMENT, "p1", "", "1");
         cluster.run(100);
-        cluster.cut("c");
+        cluster.isolate("c");
         cluster.node("a").order(EXCLUSION, "o2", "o1", null);
         cluster.run(25_000);
         assertThat(cluster.node("a").heads(EXCLUSION)).isEmpty();
@@ -231,13 +234,13 @@
             assertThat(node.heads(EXCLUSION)).isEmpty();
             assertThat(node.disk).containsOnlyKeys(PLACEMENT);
         });
-        assertThat(cluster.node("c").stands.get(EXCLUSION)).extracting(Acting::payload).containsExactly("{}", null);
-        stands(cluster, PLACEMENT, "1", "p1");
+        assertThat(cluster.node("c").effectiveOrders.get(EXCLUSION)).extracting(Acting::payload).containsExactly("{}", null);
+        assertInEffect(cluster, PLACEMENT, "1", "p1");
     }
 
     @Test
-    void whenNoMoreRemovalsCanBeRememberedOrdersThatRemoveAreRefused() {
-        Cluster cluster = level(new Cluster(3, CopySettings.usual().withRemovals(1, 20_000_000), 3));
+    void ordersThatRemoveAKeyAreRefusedWhileTheMemoryOfRemovalsIsFull() {
+        ShardCluster cluster = caughtUp(new ShardCluster(3, CopySettings.usual().withRemovals(1, 20_000_000), 3));
         for (String id : List.of("x", "y")) {
             cluster.node("a").order(new Order.Key("t", id), id, "", "1");
             cluster.run(100);
@@ -253,9 +256,9 @@
     }
 
     @Test
-    void afterAllWereKilledWhatWasAcknowledgedStandsAgainFromDisk() {
-        Cluster cluster = level(5);
-        cluster.cut("d", "e");
+    void afterAllMembersWereKilledAcknowledgedOrdersAreRestoredFromDisk() {
+        ShardCluster cluster = caughtUp(5);
+        cluster.isolate("d", "e");
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(100);
         assertThat(cluster.node("a").acknowledged).containsKey("o1");
@@ -267,13 +270,13 @@
         assertThat(cluster.nodes.values()).noneMatch(node -> node.shard.level());
         cluster.run(5_000);
         assertThat(cluster.nodes.values()).allMatch(node -> node.shard.level());
-        stands(cluster, EXCLUSION, "{}", "o1");
+        assertInEffect(cluster, EXCLUSION, "{}", "o1");
     }
 
     @Test
-    void aMemberInSilenceOrStoodStillIsNotLevelUntilItHasComparedItselfAnew() {
-        Cluster cluster = level(3);
-        cluster.cut("c");
+    void aMemberCutOffOrSuspendedIsNotCaughtUpUntilItHasComparedItsReplicaAgain() {
+        ShardCluster cluster = caughtUp(3);
+        cluster.isolate("c");
         cluster.run(3_900);
         assertThat(cluster.node("c").shard.level()).isTrue();
         cluster.run(1_200);
@@ -284,9 +287,9 @@
         cluster.heal();
         cluster.run(2_500);
         assertThat(cluster.node("c").shard.level()).isTrue();
-        cluster.stop("c");
+        cluster.suspend("c");
         cluster.run(1_500);
-        cluster.go("c");
+        cluster.resume("c");
         cluster.run(1);
         assertThat(cluster.node("c").shard.figures()).containsEntry("touch.stood_still", 1L).containsEntry("touch.lost", 2L);
         cluster.run(2_500);
@@ -294,8 +297,8 @@
     }
 
     @Test
-    void theGreatestOrdersAndTheirRivalsFitIntoMessages() {
-        Cluster cluster = level(3);
+    void ordersOfTheGreatestSizeAndTheirRivalsFitIntoMessages() {
+        ShardCluster cluster = caughtUp(3);
         String payload = "\u00e9".repeat(Sizes.PAYLOAD / 2);
         for (int i = 0; i < 70; i++) {
             cluster.node("a").order(PLACEMENT, "x".repeat(Sizes.ID - 2) + (10 + i), null, payload);
@@ -305,23 +308,23 @@
         assertThat(cluster.node("b").disk.get(PLACEMENT).replaced()).hasSize(SlotRule.MAX_REPLACED_IDS);
         for (int i = 0; i < 7; i++) {
             Order rival = new Order(PLACEMENT, "r" + i, 70, List.of(), payload, payload, new Life("z", 1));
-            cluster.node(i % 2 == 0 ? "b" : "c").take(new CopyEvent.Received("z",
+            cluster.node(i % 2 == 0 ? "b" : "c").handle(new CopyEvent.Received("z",
                     new CopyMessage.Hold(i, rival.id(), new Slot(PLACEMENT, List.of(rival), Map.of(), 0))));
         }
         cluster.run(5_000);
         assertThat(cluster.nodes.values()).allMatch(node -> node.heads(PLACEMENT).size() == 8);
         cluster.node("c").order(PLACEMENT, "settled", null, payload);
         cluster.run(100);
-        stands(cluster, PLACEMENT, payload, "settled");
+        assertInEffect(cluster, PLACEMENT, payload, "settled");
     }
 
     @Test
-    void whatAMinorityHeldWhileManyOrdersWentByIsOverAndCounted() {
-        Cluster cluster = level(3);
+    void anOrderOfAMinorityThatFallsBelowTheFloorIsDroppedAndCounted() {
+        ShardCluster cluster = caughtUp(3);
         cluster.lost = flight -> flight.message() instanceof CopyMessage.Hold;
         cluster.node("c").order(PLACEMENT, "lonely", "", "0");
         cluster.run(20);
-        cluster.cut("c");
+        cluster.isolate("c");
         cluster.lost = flight -> false;
         cluster.run(3_000);
         assertThat(cluster.node("c").refused.get("lonely")).isInstanceOf(FleetException.Uncertain.class);
@@ -331,7 +334,7 @@
         }
         cluster.heal();
         cluster.run(5_000);
-        stands(cluster, PLACEMENT, "1", "o69");
+        assertInEffect(cluster, PLACEMENT, "1", "o69");
         assertThat(cluster.node("c").shard.figures()).containsEntry("orders.under_floor", 1L);
     }
 
@@ -343,14 +346,14 @@
 
     private static List<String> trace() {
         List<String> trace = new ArrayList<>();
-        Cluster cluster = new Cluster(4);
+        ShardCluster cluster = new ShardCluster(4);
         cluster.lost = flight -> {
             trace.add(flight.atUs() + " " + flight.from() + " " + flight.to() + " " + flight.message().getClass().getSimpleName());
             return flight.number() % 7 == 0;
         };
         cluster.run(6_000);
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
-        cluster.node("b").take(new CopyEvent.Tell("verdict", "s1", "1"));
+        cluster.node("b").handle(new CopyEvent.Tell("verdict", "s1", "1"));
         cluster.run(2_000);
         return trace;
     }
--- a/fleet/src/test/java/walkpost/fleet/copy/PromisesTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/PromisesTest.java
@@ -8,72 +8,74 @@
 import org.junit.jupiter.api.Test;
 import walkpost.fleet.member.Life;
 
+/** Tests when an acceptor promises a slot to an order, and when the promise is released. */
 class PromisesTest {
     private static final Order.Key KEY = new Order.Key("placement", "l1");
     private static final Life A = new Life("a", 1);
 
     private final CopySettings settings = CopySettings.usual();
-    private final Figures figures = new Figures();
-    private final Touch touch = new Touch(settings, new Neighbours("h", Set.of("h"), 1, 1), figures);
-    private final OrderBook book = new OrderBook(settings, figures);
-    private final Promises promises = new Promises(settings, touch, book);
+    private final Figures counters = new Figures();
+    private final Touch catchUpState = new Touch(settings, new Neighbours("h", Set.of("h"), 1, 1), counters);
+    private final OrderBook slotStore = new OrderBook(settings, counters);
+    private final Promises acceptor = new Promises(settings, catchUpState, slotStore);
 
     @BeforeEach
-    void level() {
-        touch.clock(0);
-        touch.settle(0);
+    void catchUp() {
+        catchUpState.clock(0);
+        catchUpState.settle(0);
     }
 
-    private String ask(long nowUs, Life issuer, long round, String id, String... replaces) {
-        Order order = new Order(KEY, id, SlotRule.next(book.slot(KEY)), List.of(replaces), "1", null, issuer);
-        CopyMessage answer = promises.answer(nowUs, new CopyMessage.Propose(round, order, Slot.empty(KEY)));
-        return answer instanceof CopyMessage.Declined no ? no.why() + no.other() : "promised";
+    private String propose(long nowUs, Life issuer, long round, String id, String... replaces) {
+        Order order = new Order(KEY, id, SlotRule.next(slotStore.slot(KEY)), List.of(replaces), "1", null, issuer);
+        CopyMessage answer = acceptor.answer(nowUs, new CopyMessage.Propose(round, order, Slot.empty(KEY)));
+        return answer instanceof CopyMessage.Declined declined ? declined.why() + declined.other() : "promised";
     }
 
     @Test
-    void aSlotIsKeptForOneOrderUntilThePromiseEnds() {
-        assertThat(ask(0, A, 1, "x")).isEqualTo("promised");
-        assertThat(ask(1, A, 1, "x")).as("the same again, as the answer was lost").isEqualTo("promised");
-        assertThat(ask(1, new Life("b", 1), 1, "y")).isEqualTo("BUSYx");
-        assertThat(ask(2_999_999, new Life("a", 2), 9, "y")).as("a later life of the same name").isEqualTo("BUSYx");
-        assertThat(ask(3_000_000, new Life("b", 1), 1, "y")).as("asking again did not lengthen it").isEqualTo("promised");
-        assertThat(ask(3_000_001, A, 1, "x")).isEqualTo("BUSYy");
+    void aSlotIsReservedForOneOrderUntilThePromiseExpires() {
+        assertThat(propose(0, A, 1, "x")).isEqualTo("promised");
+        assertThat(propose(1, A, 1, "x")).as("the same proposal again, because the answer was lost").isEqualTo("promised");
+        assertThat(propose(1, new Life("b", 1), 1, "y")).isEqualTo("BUSYx");
+        assertThat(propose(2_999_999, new Life("a", 2), 9, "y")).as("a proposal of a later life of the coordinator").isEqualTo("BUSYx");
+        assertThat(propose(3_000_000, new Life("b", 1), 1, "y")).as("the repetition did not extend the promise")
+                .isEqualTo("promised");
+        assertThat(propose(3_000_001, A, 1, "x")).isEqualTo("BUSYy");
     }
 
     @Test
-    void aLaterRoundOfTheSameCoordinatorTakesThePlaceOfTheOneBefore() {
-        ask(0, A, 1, "x");
-        assertThat(ask(1_000_000, A, 2, "y")).isEqualTo("promised");
-        assertThat(ask(1_000_000, A, 1, "x")).as("a proposal that came late").isEqualTo("BUSYy");
-        assertThat(ask(3_500_000, new Life("b", 1), 1, "z")).isEqualTo("BUSYy");
+    void aLaterRoundOfTheSameCoordinatorReplacesTheEarlierRound() {
+        propose(0, A, 1, "x");
+        assertThat(propose(1_000_000, A, 2, "y")).isEqualTo("promised");
+        assertThat(propose(1_000_000, A, 1, "x")).as("a late proposal of an earlier round").isEqualTo("BUSYy");
+        assertThat(propose(3_500_000, new Life("b", 1), 1, "z")).isEqualTo("BUSYy");
     }
 
     @Test
-    void aRoundGivenUpFreesItsPromiseAndNoOther() {
-        ask(0, A, 2, "x");
-        promises.forget(KEY, "a", 1, 1);
-        promises.forget(KEY, "b", 1, 9);
-        assertThat(ask(1, new Life("b", 1), 1, "y")).isEqualTo("BUSYx");
-        promises.forget(KEY, "a", 1, 2);
-        assertThat(ask(2, new Life("b", 1), 1, "y")).isEqualTo("promised");
+    void anAbandonedRoundReleasesItsOwnPromiseOnly() {
+        propose(0, A, 2, "x");
+        acceptor.forget(KEY, "a", 1, 1);
+        acceptor.forget(KEY, "b", 1, 9);
+        assertThat(propose(1, new Life("b", 1), 1, "y")).isEqualTo("BUSYx");
+        acceptor.forget(KEY, "a", 1, 2);
+        assertThat(propose(2, new Life("b", 1), 1, "y")).isEqualTo("promised");
     }
 
     @Test
-    void nothingIsPromisedOnWhatNoLongerStands() {
-        book.decide(0, new Order(KEY, "o1", 1, List.of(), "1", null, A));
-        assertThat(ask(1, A, 1, "x")).isEqualTo("OVERTAKENo1");
-        assertThat(ask(1, A, 1, "x", "o0")).isEqualTo("OVERTAKENo1");
-        assertThat(ask(1, A, 1, "x", "o1")).isEqualTo("promised");
+    void anOrderThatReplacesAnOrderNoLongerInForceGetsNoPromise() {
+        slotStore.decide(0, new Order(KEY, "o1", 1, List.of(), "1", null, A));
+        assertThat(propose(1, A, 1, "x")).isEqualTo("OVERTAKENo1");
+        assertThat(propose(1, A, 1, "x", "o0")).isEqualTo("OVERTAKENo1");
+        assertThat(propose(1, A, 1, "x", "o1")).isEqualTo("promised");
     }
 
     @Test
-    void aMemberThatIsNotLevelPromisesNothing() {
-        touch.clock(1);
-        Touch lost = new Touch(settings, new Neighbours("h", Set.of("h", "i"), 1, 1), figures);
-        lost.clock(0);
-        lost.settle(0);
+    void aMemberThatIsNotCaughtUpPromisesNothing() {
+        catchUpState.clock(1);
+        Touch notCaughtUp = new Touch(settings, new Neighbours("h", Set.of("h", "i"), 1, 1), counters);
+        notCaughtUp.clock(0);
+        notCaughtUp.settle(0);
         Order order = new Order(KEY, "x", 1, List.of(), "1", null, A);
-        CopyMessage answer = new Promises(settings, lost, book).answer(1, new CopyMessage.Propose(1, order, Slot.empty(KEY)));
+        CopyMessage answer = new Promises(settings, notCaughtUp, slotStore).answer(1, new CopyMessage.Propose(1, order, Slot.empty(KEY)));
         assertThat(answer).isEqualTo(new CopyMessage.Declined(1, "x", CopyMessage.Reason.NOT_LEVEL, "", null));
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/copy/Cluster.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/ShardCluster.java
@@ -23,26 +23,32 @@
 import walkpost.fleet.FleetException;
 import walkpost.fleet.member.Life;
 
-/** Shards on a clock and a network of the test's own. Each message goes through CBOR, has to stay below 32 KiB, and takes a millisecond. */
-final class Cluster {
+/**
+ * Members with one shard each, on a simulated clock and network. Each message is encoded to CBOR and decoded again, must stay below 32 KiB,
+ * and arrives after a millisecond.
+ */
+final class ShardCluster {
     private static final ObjectMapper CBOR = new CBORMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
     private static final long MS = 1_000;
 
+    /** A message in transit; the number orders messages that arrive at the same time. */
     record Flight(long atUs, long number, String from, String to, CopyMessage message) { }
 
+    /** A member: its shard, its simulated disk, and the actions that its shard has reported. */
     final class Node {
         final String name;
         final Map<Order.Key, Slot> disk = new TreeMap<>(Comparator.comparing(Order.Key::toString));
         final Map<String, Order> acknowledged = new HashMap<>();
         final Map<String, FleetException> refused = new HashMap<>();
-        final Map<Order.Key, List<Acting>> stands = new HashMap<>();
-        final List<Fact> heard = new ArrayList<>();
-        final List<Fact.Key> stale = new ArrayList<>();
+        final Map<Order.Key, List<Acting>> effectiveOrders = new HashMap<>();
+        final List<Fact> receivedEntries = new ArrayList<>();
+        final List<Fact.Key> staleEntries = new ArrayList<>();
         final Deque<Runnable> inbox = new ArrayDeque<>();
-        final Deque<CopyAction> held = new ArrayDeque<>();
+        final Deque<CopyAction> pendingActions = new ArrayDeque<>();
         Shard shard;
-        boolean stopped;
-        boolean holdActions;
+        boolean suspended;
+        /** Keeps back the actions of the shard, as if the process were slow to carry them out. */
+        boolean actionsPaused;
         long life;
 
         Node(String name) {
@@ -54,28 +60,29 @@
             shard = new Shard(settings, new Life(name, ++life), configured, seed + 31L * name.hashCode() + life);
         }
 
-        /** Starts again with a new life, from what is on disk. */
+        /** Restarts the member with a new incarnation, from the slots on its disk. */
         void restart(long awayUs) {
             inbox.clear();
             start();
-            take(new CopyEvent.Restored(List.copyOf(disk.values()), awayUs));
-            take(new CopyEvent.Peers(peers(name)));
+            handle(new CopyEvent.Restored(List.copyOf(disk.values()), awayUs));
+            handle(new CopyEvent.Peers(peers(name)));
         }
 
-        void take(CopyEvent event) {
-            shard.handle(nowUs, event, held::add);
-            carryOut();
+        /** Hands an event to the shard and carries out its actions, unless they are paused. */
+        void handle(CopyEvent event) {
+            shard.handle(nowUs, event, pendingActions::add);
+            carryOutActions();
         }
 
-        void carryOut() {
-            while (!holdActions && !held.isEmpty()) {
-                carryOut(held.remove());
+        void carryOutActions() {
+            while (!actionsPaused && !pendingActions.isEmpty()) {
+                carryOutAction(pendingActions.remove());
             }
         }
 
-        private void carryOut(CopyAction action) {
+        private void carryOutAction(CopyAction action) {
             if (action instanceof CopyAction.Send send) {
-                fly(name, send.to(), send.message());
+                transmit(name, send.to(), send.message());
             } else if (action instanceof CopyAction.Persist persist) {
                 for (Slot slot : persist.slots()) {
                     if (slot.none()) {
@@ -86,30 +93,31 @@
                 }
             } else if (action instanceof CopyAction.Acknowledged done) {
                 acknowledged.put(done.id(), done.order());
-            } else if (action instanceof CopyAction.Refused no) {
-                refused.put(no.id(), no.why());
-            } else if (action instanceof CopyAction.Stands what) {
-                stands.computeIfAbsent(what.key(), key -> new ArrayList<>()).add(what.acting());
-            } else if (action instanceof CopyAction.Heard fact) {
-                heard.add(fact.fact());
-            } else if (action instanceof CopyAction.Stale fact) {
-                stale.add(fact.key());
+            } else if (action instanceof CopyAction.Refused failed) {
+                refused.put(failed.id(), failed.why());
+            } else if (action instanceof CopyAction.Stands changed) {
+                effectiveOrders.computeIfAbsent(changed.key(), key -> new ArrayList<>()).add(changed.acting());
+            } else if (action instanceof CopyAction.Heard received) {
+                receivedEntries.add(received.fact());
+            } else if (action instanceof CopyAction.Stale stale) {
+                staleEntries.add(stale.key());
             }
         }
 
         void order(Order.Key key, String id, String replaces, String payload) {
             acknowledged.remove(id);
             refused.remove(id);
-            take(new CopyEvent.Propose(key, id, replaces, payload));
+            handle(new CopyEvent.Propose(key, id, replaces, payload));
         }
 
+        /** Returns the ids of the decided orders for a key that no other order has replaced. */
         List<String> heads(Order.Key key) {
             return shard.slots().stream().filter(slot -> slot.key().equals(key)).flatMap(slot -> SlotRule.ids(slot).stream()).toList();
         }
     }
 
     final Map<String, Node> nodes = new TreeMap<>();
-    final Set<String> away = new HashSet<>();
+    final Set<String> isolated = new HashSet<>();
     Predicate<Flight> lost = flight -> false;
     long nowUs = -7_000 * MS;
     private final CopySettings settings;
@@ -117,9 +125,9 @@
     private final long seed;
     private final PriorityQueue<Flight> flights =
             new PriorityQueue<>(Comparator.comparingLong(Flight::atUs).thenComparingLong(Flight::number));
-    private long number;
+    private long flightCount;
 
-    Cluster(int size, CopySettings settings, long seed) {
+    ShardCluster(int size, CopySettings settings, long seed) {
         this.settings = settings;
         this.seed = seed;
         Set<String> names = new TreeSet<>();
@@ -128,10 +136,10 @@
         }
         configured = names;
         names.forEach(name -> nodes.put(name, new Node(name)));
-        nodes.values().forEach(node -> node.take(new CopyEvent.Peers(peers(node.name))));
+        nodes.values().forEach(node -> node.handle(new CopyEvent.Peers(peers(node.name))));
     }
 
-    Cluster(int size) {
+    ShardCluster(int size) {
         this(size, CopySettings.usual(), 7);
     }
 
@@ -139,7 +147,7 @@
         return nodes.get(name);
     }
 
-    /** Lets time pass; 50 ms go by from tick to tick. */
+    /** Advances the clock by {@code ms}, delivers messages, and ticks all running members every 50 ms. */
     void run(long ms) {
         for (long end = nowUs + ms * MS; nowUs < end; nowUs += MS) {
             while (!flights.isEmpty() && flights.peek().atUs() <= nowUs) {
@@ -147,31 +155,33 @@
                 deliver(flight.to(), new CopyEvent.Received(flight.from(), flight.message()));
             }
             if (nowUs % (50 * MS) == 0) {
-                nodes.values().stream().filter(node -> !node.stopped).forEach(node -> node.take(new CopyEvent.Tick()));
+                nodes.values().stream().filter(node -> !node.suspended).forEach(node -> node.handle(new CopyEvent.Tick()));
             }
         }
     }
 
-    /** The process stands still from now on; what comes waits in its socket. */
-    void stop(String name) {
-        node(name).stopped = true;
+    /** Suspends a member's process; messages to it wait in its inbox. */
+    void suspend(String name) {
+        node(name).suspended = true;
     }
 
-    void go(String name) {
+    /** Resumes a suspended member, which receives the waiting messages first. */
+    void resume(String name) {
         Node node = node(name);
-        node.stopped = false;
+        node.suspended = false;
         while (!node.inbox.isEmpty()) {
             node.inbox.remove().run();
         }
     }
 
-    /** No message comes to or goes from these. */
-    void cut(String... names) {
-        away.addAll(List.of(names));
+    /** Isolates members: all messages from and to them are lost. */
+    void isolate(String... names) {
+        isolated.addAll(List.of(names));
     }
 
+    /** Ends all isolation and message loss. */
     void heal() {
-        away.clear();
+        isolated.clear();
         lost = flight -> false;
     }
 
@@ -181,24 +191,24 @@
         return peers;
     }
 
-    private void fly(String from, String to, CopyMessage message) {
-        Flight flight = new Flight(nowUs + MS, ++number, from, to, copy(message));
-        boolean cut = away.contains(from) || away.contains(to);
-        if (!cut && !lost.test(flight) && nodes.containsKey(to)) {
+    private void transmit(String from, String to, CopyMessage message) {
+        Flight flight = new Flight(nowUs + MS, ++flightCount, from, to, encodeAndDecode(message));
+        boolean cutOff = isolated.contains(from) || isolated.contains(to);
+        if (!cutOff && !lost.test(flight) && nodes.containsKey(to)) {
             flights.add(flight);
         }
     }
 
     private void deliver(String to, CopyEvent event) {
         Node node = node(to);
-        if (node.stopped) {
-            node.inbox.add(() -> node.take(event));
+        if (node.suspended) {
+            node.inbox.add(() -> node.handle(event));
         } else {
-            node.take(event);
+            node.handle(event);
         }
     }
 
-    private CopyMessage copy(CopyMessage message) {
+    private CopyMessage encodeAndDecode(CopyMessage message) {
         try {
             byte[] bytes = CBOR.writerFor(CopyMessage.class).writeValueAsBytes(message);
             assertThat(bytes.length).isLessThan(32 * 1024);
--- a/fleet/src/test/java/walkpost/fleet/copy/SlotRuleTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/SlotRuleTest.java
@@ -18,42 +18,46 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import walkpost.fleet.member.Life;
 
+/** Tests that the join of slots satisfies the laws of a semilattice, keeps all rivals, and never restores a replaced order. */
 class SlotRuleTest {
     private static final Order.Key KEY = new Order.Key("placement", "l1");
 
-    /** Histories of one key, with rivals, of which each copy has seen some orders; long ones go beyond what is remembered by id. */
-    private static List<Slot> copies(long seed, int orders, int count) {
+    /**
+     * Returns replicas of one slot after a random history with rivals, each of which has seen some of the orders. Long histories exceed
+     * the number of replaced ids that a slot lists.
+     */
+    private static List<Slot> replicas(long seed, int orders, int count) {
         Random random = new Random(seed);
-        List<Order> made = new ArrayList<>();
+        List<Order> history = new ArrayList<>();
         List<Slot> issuers = new ArrayList<>(List.of(Slot.empty(KEY), Slot.empty(KEY)));
         for (int i = 0; i < orders; i++) {
             int at = random.nextInt(2);
             Order order = order("o" + (i * 7919 + 13) % 1009, issuers.get(at), random.nextInt(4) == 0 ? null : "p" + i);
-            made.add(order);
+            history.add(order);
             issuers.set(at, SlotRule.with(issuers.get(at), order));
             if (random.nextInt(8) == 0) {
                 Slot both = SlotRule.join(issuers.get(0), issuers.get(1));
                 issuers.set(random.nextInt(2), both);
             }
         }
-        List<Slot> copies = new ArrayList<>();
+        List<Slot> replicas = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Slot copy = Slot.empty(KEY);
+            Slot replica = Slot.empty(KEY);
             double share = random.nextDouble();
-            for (Order order : made) {
-                copy = random.nextDouble() < share ? SlotRule.with(copy, order) : copy;
+            for (Order order : history) {
+                replica = random.nextDouble() < share ? SlotRule.with(replica, order) : replica;
             }
-            copies.add(copy);
+            replicas.add(replica);
         }
-        return copies;
+        return replicas;
     }
 
     private static Order order(String id, Slot on, String payload) {
         return new Order(KEY, id, SlotRule.next(on), SlotRule.ids(on), payload, SlotRule.acting(on).payload(), new Life("a", 1));
     }
 
-    /** Returns the first law that a join breaks, or null. */
-    private static String broken(BinaryOperator<Slot> join, Slot a, Slot b, Slot c) {
+    /** Returns the first law that a join breaks, or null if it keeps them all. */
+    private static String brokenLaw(BinaryOperator<Slot> join, Slot a, Slot b, Slot c) {
         Slot ab = join.apply(a, b);
         if (!ab.equals(join.apply(b, a))) {
             return "commutative";
@@ -65,44 +69,44 @@
         for (Slot slot : List.of(a, b)) {
             Slot other = slot == a ? b : a;
             for (Order head : slot.heads()) {
-                boolean over = other.replaced().containsKey(head.id()) || head.version() <= ab.floor()
+                boolean replaced = other.replaced().containsKey(head.id()) || head.version() <= ab.floor()
                         || slot.replaced().containsKey(head.id());
-                if (over == ab.heads().stream().anyMatch(kept -> kept.id().equals(head.id()))) {
-                    return over ? "nothing that is over comes back" : "no rival is lost";
+                if (replaced == ab.heads().stream().anyMatch(kept -> kept.id().equals(head.id()))) {
+                    return replaced ? "no replaced order comes back" : "no rival is lost";
                 }
             }
         }
-        return ab.floor() < Math.max(a.floor(), b.floor()) ? "what is over stays over" : null;
+        return ab.floor() < Math.max(a.floor(), b.floor()) ? "the floor never falls" : null;
     }
 
     @Property(tries = 600, seed = "1")
-    void copiesThatDifferBecomeOneInAnyOrder(@ForAll long seed, @ForAll @IntRange(min = 1, max = 250) int orders) {
-        List<Slot> copies = copies(seed, orders, 3);
-        assertThat(broken(SlotRule::join, copies.get(0), copies.get(1), copies.get(2))).isNull();
+    void replicasConvergeInAnyOrderOfMerges(@ForAll long seed, @ForAll @IntRange(min = 1, max = 250) int orders) {
+        List<Slot> replicas = replicas(seed, orders, 3);
+        assertThat(brokenLaw(SlotRule::join, replicas.get(0), replicas.get(1), replicas.get(2))).isNull();
     }
 
     @Property(tries = 300, seed = "2")
-    void theLatestOrderIsNeverUnderTheFloor(@ForAll long seed, @ForAll @IntRange(min = 1, max = 250) int orders) {
-        Slot all = copies(seed, orders, 4).stream().reduce(Slot.empty(KEY), SlotRule::join);
+    void theLatestOrderIsAlwaysAboveTheFloor(@ForAll long seed, @ForAll @IntRange(min = 1, max = 250) int orders) {
+        Slot all = replicas(seed, orders, 4).stream().reduce(Slot.empty(KEY), SlotRule::join);
         assertThat(all.none() || !all.heads().isEmpty()).isTrue();
         assertThat(all.replaced()).hasSizeLessThanOrEqualTo(SlotRule.MAX_REPLACED_IDS);
         assertThat(all.heads()).allMatch(head -> head.version() > all.floor());
     }
 
     @Property(tries = 300, seed = "2")
-    void equalSlotsHaveEqualHashesAndOthersNot(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int orders) {
-        List<Slot> copies = copies(seed, orders, 2);
-        assertThat(SlotRule.hash(copies.get(0)) == SlotRule.hash(copies.get(1))).isEqualTo(copies.get(0).equals(copies.get(1)));
+    void slotsHaveEqualHashesIfAndOnlyIfTheyAreEqual(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int orders) {
+        List<Slot> replicas = replicas(seed, orders, 2);
+        assertThat(SlotRule.hash(replicas.get(0)) == SlotRule.hash(replicas.get(1))).isEqualTo(replicas.get(0).equals(replicas.get(1)));
     }
 
-    static Stream<Arguments> wrongJoins() {
+    static Stream<Arguments> faultyJoins() {
         BinaryOperator<Slot> lastWriterWins = (a, b) -> SlotRule.next(a) >= SlotRule.next(b) ? a : b;
-        BinaryOperator<Slot> forgetsWhatIsOver = (a, b) -> {
+        BinaryOperator<Slot> forgetsReplacedIds = (a, b) -> {
             Map<String, Order> heads = new TreeMap<>();
             Stream.of(a, b).flatMap(slot -> slot.heads().stream()).forEach(head -> heads.put(head.id(), head));
             return new Slot(KEY, List.copyOf(heads.values()), Map.of(), 0);
         };
-        BinaryOperator<Slot> dropsWhatOneSideDoesNotKnow = (a, b) -> {
+        BinaryOperator<Slot> dropsHeadsOfOneSide = (a, b) -> {
             Slot both = SlotRule.join(a, b);
             return new Slot(KEY, both.heads().stream().filter(head -> a.heads().contains(head) == b.heads().contains(head)).toList(),
                     both.replaced(), both.floor());
@@ -111,28 +115,28 @@
             Slot both = SlotRule.join(a, b);
             return new Slot(KEY, both.heads(), both.replaced(), Math.min(a.floor(), b.floor()));
         };
-        BinaryOperator<Slot> keepsTheHighestOnly = (a, b) -> {
+        BinaryOperator<Slot> keepsHighestHeadOnly = (a, b) -> {
             Slot both = SlotRule.join(a, b);
             Order chosen = SlotRule.acting(both).chosen();
             return new Slot(KEY, chosen == null ? List.of() : List.of(chosen), both.replaced(), both.floor());
         };
-        return Stream.of(Arguments.of(lastWriterWins), Arguments.of(forgetsWhatIsOver), Arguments.of(dropsWhatOneSideDoesNotKnow),
-                Arguments.of(lowerFloor), Arguments.of(keepsTheHighestOnly));
+        return Stream.of(Arguments.of(lastWriterWins), Arguments.of(forgetsReplacedIds), Arguments.of(dropsHeadsOfOneSide),
+                Arguments.of(lowerFloor), Arguments.of(keepsHighestHeadOnly));
     }
 
     @ParameterizedTest
-    @MethodSource("wrongJoins")
-    void wrongJoinsBreakALaw(BinaryOperator<Slot> wrong) {
+    @MethodSource("faultyJoins")
+    void everyFaultyJoinBreaksALaw(BinaryOperator<Slot> wrong) {
         boolean caught = false;
         for (int seed = 0; seed < 200 && !caught; seed++) {
-            List<Slot> copies = copies(seed, 1 + seed, 3);
-            caught = broken(wrong, copies.get(0), copies.get(1), copies.get(2)) != null;
+            List<Slot> replicas = replicas(seed, 1 + seed, 3);
+            caught = brokenLaw(wrong, replicas.get(0), replicas.get(1), replicas.get(2)) != null;
         }
         assertThat(caught).isTrue();
     }
 
     @Test
-    void ofRivalsAllCopiesChooseTheSameAndHoldWhatWasActedOnBefore() {
+    void allReplicasChooseTheSameRivalAndKeepTheFormerPayloadInEffect() {
         Slot first = SlotRule.with(Slot.empty(KEY), order("first", Slot.empty(KEY), "1"));
         Slot one = SlotRule.with(first, order("x", first, "2"));
         Slot other = SlotRule.with(first, order("y", first, "3"));
@@ -143,7 +147,7 @@
     }
 
     @Test
-    void aServerIsExcludedIfAnyOfRivalsExcludesIt() {
+    void aServerIsExcludedIfAnyRivalExcludesIt() {
         Order.Key key = new Order.Key(SlotRule.EXCLUSION, "s1");
         Slot none = Slot.empty(key);
         Order excludes = new Order(key, "a", 1, List.of(), "{}", null, new Life("a", 1));
@@ -154,7 +158,7 @@
     }
 
     @Test
-    void aSlotTooLargeForAMessageIsWholeAgainFromItsParts() {
+    void theJoinOfTheSplitPartsIsTheWholeSlot() {
         Slot slot = Slot.empty(KEY);
         for (int i = 0; i < 9; i++) {
             slot = SlotRule.join(slot, new Slot(KEY, List.of(new Order(KEY, "r" + i, 7, List.of("old" + i), "x".repeat(4000), null,
