--- a/fleet/src/test/java/walkpost/fleet/sim/Layout.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Layout.java
@@ -1,9 +1,9 @@
 package walkpost.fleet.sim;
 
-/** Who votes in a cluster. */
+/** Which members of a simulated fleet vote. */
 enum Layout {
-    /** Three to twelve members, each with a copy of all shards; most are configured, and all of them compare themselves. */
+    /** Three to twelve members, each with a replica of all shards. Most are configured, and all compare their replicas. */
     ALL_COPY,
-    /** Three voters, and twelve observers that they feed. */
+    /** Three voters, and twelve observers that receive the voters' feeds. */
     FEW_VOTE
 }
--- a/fleet/src/test/java/walkpost/fleet/sim/Network.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Network.java
@@ -2,80 +2,87 @@
 
 import java.util.Arrays;
 
-/** What lies between the nodes: each ordered pair has a way of its own that is slow, lossy, silent or cut as chance had it. */
+/** The simulated network: each ordered pair of nodes has a link of its own with random delay, loss, duplication, silence and partitions. */
 final class Network {
-    /** No message is longer on its way than this, but for late ones, and those that wait in a stopped process. */
-    static final long LONGEST_US = 60 * Timeline.MS;
-    private static final long LATE_US = 200 * Timeline.MS;
+    /** The bound on the transit time of a message, except for late messages and those that wait for a suspended process. */
+    static final long MAX_TRANSIT_US = 60 * SimClock.MILLI_US;
+    private static final long MAX_LATE_US = 200 * SimClock.MILLI_US;
 
-    private final Timeline time;
+    private final SimClock time;
     private final int nodes;
     private final long[] baseUs;
     private final boolean[] silent;
-    private final int[] part;
+    private final int[] partition;
     private final long jitterUs;
     private double loss;
-    private double twice;
-    private double late;
+    private double duplication;
+    private double lateness;
 
-    Network(Timeline time, int nodes) {
+    Network(SimClock time, int nodes) {
         this.time = time;
         this.nodes = nodes;
         baseUs = new long[nodes * nodes];
         silent = new boolean[nodes * nodes];
-        part = new int[nodes];
-        long farthest = time.between(Timeline.MS, LONGEST_US / 2);
-        jitterUs = time.between(0, LONGEST_US / 2);
-        Arrays.setAll(baseUs, pair -> time.between(100, farthest));
+        partition = new int[nodes];
+        long maxBaseUs = time.between(SimClock.MILLI_US, MAX_TRANSIT_US / 2);
+        jitterUs = time.between(0, MAX_TRANSIT_US / 2);
+        Arrays.setAll(baseUs, pair -> time.between(100, maxBaseUs));
         loss = time.chance(0.5) ? 0 : time.between(0, 30) / 100.0;
-        twice = time.chance(0.5) ? 0 : time.between(0, 10) / 100.0;
-        late = time.chance(0.5) ? 0 : time.between(0, 10) / 100.0;
+        duplication = time.chance(0.5) ? 0 : time.between(0, 10) / 100.0;
+        lateness = time.chance(0.5) ? 0 : time.between(0, 10) / 100.0;
     }
 
-    /** Sends what {@code arrive} delivers. A sure way loses and doubles nothing, but for silence and cuts. */
-    void send(int from, int to, boolean sure, Runnable arrive) {
-        if (!sure && time.chance(loss)) {
+    /**
+     * Sends a message, and runs {@code deliver} when it arrives.
+     *
+     * @param reliable whether the link neither loses nor duplicates the message, apart from silence and partitions
+     */
+    void send(int from, int to, boolean reliable, Runnable deliver) {
+        if (!reliable && time.chance(loss)) {
             return;
         }
-        int copies = !sure && time.chance(twice) ? 2 : 1;
+        int copies = !reliable && time.chance(duplication) ? 2 : 1;
         for (int copy = 0; copy < copies; copy++) {
-            long delayUs = baseUs[from * nodes + to] + time.between(0, jitterUs) + (time.chance(late) ? time.between(0, LATE_US) : 0);
+            long delayUs = baseUs[from * nodes + to] + time.between(0, jitterUs)
+                    + (time.chance(lateness) ? time.between(0, MAX_LATE_US) : 0);
             time.after(delayUs, () -> {
-                if (passes(from, to)) {
-                    arrive.run();
+                if (connected(from, to)) {
+                    deliver.run();
                 }
             });
         }
     }
 
-    private boolean passes(int from, int to) {
-        return part[from] == part[to] && !silent[from * nodes + to];
+    private boolean connected(int from, int to) {
+        return partition[from] == partition[to] && !silent[from * nodes + to];
     }
 
-    void silence(int from, int to, boolean on) {
-        silent[from * nodes + to] = on;
+    /** Starts or ends the loss of all messages on one link. */
+    void silence(int from, int to, boolean silence) {
+        silent[from * nodes + to] = silence;
     }
 
-    /** Cuts the nodes into so many parts; one part mends it. */
-    void cut(int parts) {
-        Arrays.setAll(part, node -> time.below(parts));
+    /** Divides the nodes at random into partitions; one partition ends the division. */
+    void divide(int partitions) {
+        Arrays.setAll(partition, node -> time.below(partitions));
     }
 
+    /** Cuts a node off from all others. */
     void isolate(int node) {
-        part[node] = -1;
+        partition[node] = -1;
     }
 
-    /** Ends what {@link #isolate} began, or a cut, for this node. */
+    /** Ends the isolation of a node, or a division, for this node. */
     void rejoin(int node) {
-        part[node] = 0;
+        partition[node] = 0;
     }
 
-    /** From now on all goes well. */
+    /** Ends all network faults. */
     void heal() {
         Arrays.fill(silent, false);
-        Arrays.fill(part, 0);
+        Arrays.fill(partition, 0);
         loss = 0;
-        twice = 0;
-        late = 0;
+        duplication = 0;
+        lateness = 0;
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/sim/Node.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Node.java
@@ -23,49 +23,50 @@
 import walkpost.fleet.observe.ObserverEvent;
 
 /**
- * One computer: its clocks and disk, which outlast its process, and the process while there is one. The process does what the fleet's
- * shell does: it ticks the machines, hands them messages and carries out their actions in order, a write to disk before what follows it.
+ * A simulated machine: its clocks and its disk, which outlive its process, and the process, if one is running. The process does what the
+ * {@code walkpost.fleet.shell} package does: it ticks the state machines, passes messages to them, and carries out their actions in order;
+ * a write to disk is complete before the next action.
  */
 final class Node {
-    private static final long TICK_US = 50 * Timeline.MS;
-    private static final int SOCKET_BUFFER = 256;
-    /** What the shell does not send any more, as it waited for the disk, or the process stood still; facts do not count that time. */
-    static final long LATE_US = Timeline.S;
-    private static final long LATE_FACTS_US = Timeline.S / 10;
+    private static final long TICK_US = 50 * SimClock.MILLI_US;
+    private static final int SOCKET_BUFFER_MESSAGES = 256;
+    /** Messages that waited longer for the disk or a suspended process are dropped, as in the shell: their ages do not include the wait. */
+    static final long MAX_SEND_DELAY_US = SimClock.SECOND_US;
+    private static final long MAX_ENTRY_SEND_DELAY_US = SimClock.SECOND_US / 10;
 
     final int index;
     final String name;
     final Address address;
     final boolean directory;
-    /** Whether it keeps copies of shards; else it is an observer. */
-    final boolean copies;
-    /** Where it runs, in a layout with observers. */
+    /** Whether the node holds replicas of the shards; else it is an observer. */
+    final boolean holdsReplicas;
+    /** The region of the node, in a layout with observers; else empty. */
     final String region;
-    private final Cluster cluster;
-    private final Timeline time;
-    private final double rate;
+    private final SimulatedFleet fleet;
+    private final SimClock time;
+    private final double clockRate;
     private final long epochUs;
-    private final long slowestWriteUs;
+    private final long maxWriteUs;
     private final List<Map<Order.Key, Slot>> disk = new ArrayList<>();
     private long wallStepMs;
     private long lastIncarnation;
     private long endedMs;
-    private long stoodStillUs;
+    private long suspendedUs;
     private Process process;
 
-    Node(Cluster cluster, int index, boolean directory) {
-        this.cluster = cluster;
+    Node(SimulatedFleet fleet, int index, boolean directory) {
+        this.fleet = fleet;
         this.index = index;
         this.directory = directory;
-        time = cluster.time;
+        time = fleet.time;
         name = "n" + index;
         address = new Address("127.0.0." + (index + 1), 7401);
-        rate = 1 + time.between(-20, 20) / 1000.0;
-        epochUs = time.between(0, 1_000_000 * Timeline.S);
-        copies = cluster.layout == Layout.ALL_COPY || index < Cluster.VOTERS;
-        region = cluster.layout == Layout.ALL_COPY ? "" : Cluster.REGIONS.get(time.below(Cluster.REGIONS.size()));
-        slowestWriteUs = time.chance(0.2) ? 300 * Timeline.MS : 5 * Timeline.MS;
-        for (int shard = 0; shard < cluster.shards; shard++) {
+        clockRate = 1 + time.between(-20, 20) / 1000.0;
+        epochUs = time.between(0, 1_000_000 * SimClock.SECOND_US);
+        holdsReplicas = fleet.layout == Layout.ALL_COPY || index < SimulatedFleet.VOTERS;
+        region = fleet.layout == Layout.ALL_COPY ? "" : SimulatedFleet.REGIONS.get(time.below(SimulatedFleet.REGIONS.size()));
+        maxWriteUs = time.chance(0.2) ? 300 * SimClock.MILLI_US : 5 * SimClock.MILLI_US;
+        for (int shard = 0; shard < fleet.shards; shard++) {
             disk.add(new LinkedHashMap<>());
         }
     }
@@ -78,12 +79,12 @@
         return process != null;
     }
 
-    /** The monotonic clock: up to 2% wrong, from an arbitrary beginning, and never stepped. */
+    /** Returns the monotonic clock, which deviates by up to 2%, has an arbitrary origin, and is never stepped. */
     long clockUs() {
-        return cluster.plant.clockUs(this, epochUs + (long) (time.nowUs() * rate));
+        return fleet.faultInjection.clockUs(this, epochUs + (long) (time.nowUs() * clockRate));
     }
 
-    /** Steps the wall clock, which nothing but a start looks at. */
+    /** Steps the wall clock, which only a start reads. */
     void stepWallClock(long ms) {
         wallStepMs += ms;
     }
@@ -103,55 +104,56 @@
         }
         lastIncarnation = incarnation;
         process = new Process(new Life(name, incarnation));
-        time.note("%s starts as %d", name, incarnation);
+        time.log("%s starts as %d", name, incarnation);
         process.begin();
     }
 
-    /** Ends the process at once; each write under way has reached the disk, or has not, or in part. */
+    /** Kills the process. A write under way is complete on disk, or missing, or partial. */
     void kill() {
         if (process != null) {
-            time.note("%s is killed", name);
+            time.log("%s is killed", name);
             Process dead = process;
             process = null;
             endedMs = wallMs();
-            for (Lane lane : dead.lanes) {
-                if (lane.writing != null && time.chance(0.5)) {
-                    lane.write(time.chance(0.5) ? lane.writing : lane.writing.subList(0, time.below(lane.writing.size() + 1)));
+            for (ShardReplica replica : dead.replicas) {
+                List<Slot> writing = replica.slotsBeingWritten;
+                if (writing != null && time.chance(0.5)) {
+                    replica.write(time.chance(0.5) ? writing : writing.subList(0, time.below(writing.size() + 1)));
                 }
             }
-            cluster.oracle.killed(this, dead);
+            fleet.oracle.killed(this, dead);
         }
     }
 
-    /** Has this node's shard read a message that nobody sent. */
-    void forge(int shard, String from, CopyMessage message) {
+    /** Delivers a message to a shard of this node that no member has sent. */
+    void deliverForged(int shard, String from, CopyMessage message) {
         Process reader = process;
-        time.after(Timeline.MS, () -> reader.receive(() -> reader.lanes.get(shard).handle(new CopyEvent.Received(from, message))));
+        time.after(SimClock.MILLI_US, () -> reader.receive(() -> reader.replicas.get(shard).handle(new CopyEvent.Received(from, message))));
     }
 
-    /** Returns for how long the processes of this node have been stopped, by its clock. */
-    long stoodStillUs() {
-        return stoodStillUs;
+    /** Returns the total time for which processes of this node were suspended, by its clock. */
+    long suspendedUs() {
+        return suspendedUs;
     }
 
-    /** Stops the process for so long, as SIGSTOP and SIGCONT do; what arrives meanwhile waits, up to a bound. */
-    void stop(long forUs) {
-        Process stopped = process;
-        if (stopped != null && !stopped.stopped) {
-            time.note("%s stops for %d ms", name, forUs / 1000);
-            stopped.stopped = true;
-            cluster.oracle.stopped(stopped, forUs);
-            time.after(forUs, () -> {
-                stoodStillUs += (long) (forUs * rate);
-                stopped.resume();
+    /** Suspends the process for a time, as SIGSTOP and SIGCONT do. Arriving messages wait, up to a bound. */
+    void suspend(long durationUs) {
+        Process current = process;
+        if (current != null && !current.suspended) {
+            time.log("%s is suspended for %d ms", name, durationUs / 1000);
+            current.suspended = true;
+            fleet.oracle.suspended(current, durationUs);
+            time.after(durationUs, () -> {
+                suspendedUs += (long) (durationUs * clockRate);
+                current.resume();
             });
         }
     }
 
-    /** Kills or stops the process in the middle of a batch, at the so many-th action from now. */
-    void trap(int actions, Runnable fault) {
+    /** Runs a fault in the middle of a batch of actions, before the action with number {@code actions} from now. */
+    void setTrap(int actions, Runnable fault) {
         if (process != null) {
-            process.trapIn = actions;
+            process.actionsUntilTrap = actions;
             process.trap = fault;
         }
     }
@@ -160,45 +162,45 @@
     final class Process {
         final Life life;
         final Membership membership;
-        /** Empty at an observer. */
-        final List<Lane> lanes = new ArrayList<>();
-        /** Null where there are no observers, and at one. */
-        final FeedLane feed;
+        /** The replicas of the shards; empty at an observer. */
+        final List<ShardReplica> replicas = new ArrayList<>();
+        /** Null at an observer, and in a layout without observers. */
+        final SimulatedFeed feed;
         /** Null unless this is an observer. */
-        final ObserverLane observer;
-        private final Deque<Runnable> waiting = new ArrayDeque<>();
-        private final List<Runnable> owed = new ArrayList<>();
-        private boolean stopped;
+        final SimulatedObserver observer;
+        private final Deque<Runnable> inbox = new ArrayDeque<>();
+        private final List<Runnable> deferredWork = new ArrayList<>();
+        private boolean suspended;
         private boolean tickDue;
         private int ticks;
-        private int trapIn = -1;
+        private int actionsUntilTrap = -1;
         private Runnable trap;
 
         private Process(Life life) {
             this.life = life;
-            membership = new Membership(Cluster.MEMBERS, life, address, cluster.seeds(), time.nextSeed());
-            for (int shard = 0; copies && shard < cluster.shards; shard++) {
-                lanes.add(new Lane(this, shard, new Shard(Cluster.COPY, life, cluster.configured, time.nextSeed())));
+            membership = new Membership(SimulatedFleet.MEMBERS, life, address, fleet.seeds(), time.nextSeed());
+            for (int shard = 0; holdsReplicas && shard < fleet.shards; shard++) {
+                replicas.add(new ShardReplica(this, shard, new Shard(SimulatedFleet.COPY, life, fleet.configured, time.nextSeed())));
             }
-            feed = copies && cluster.layout == Layout.FEW_VOTE ? new FeedLane(cluster, this) : null;
-            observer = copies ? null : new ObserverLane(cluster, this, time.nextSeed());
+            feed = holdsReplicas && fleet.layout == Layout.FEW_VOTE ? new SimulatedFeed(fleet, this) : null;
+            observer = holdsReplicas ? null : new SimulatedObserver(fleet, this, time.nextSeed());
         }
 
         Node node() {
             return Node.this;
         }
 
-        boolean runs() {
-            return process == this && !stopped;
+        boolean isRunning() {
+            return process == this && !suspended;
         }
 
         private void begin() {
-            if (directory && copies) {
+            if (directory && holdsReplicas) {
                 long awayUs = Math.max(0, wallMs() - endedMs) * 1000;
-                lanes.forEach(lane -> lane.handle(
-                        new CopyEvent.Restored(cluster.plant.restored(List.copyOf(disk(lane.shard))), awayUs)));
+                replicas.forEach(replica -> replica.handle(
+                        new CopyEvent.Restored(fleet.faultInjection.restored(List.copyOf(disk(replica.shard))), awayUs)));
                 if (feed != null) {
-                    lanes.forEach(lane -> feed.changed(lane.machine.slots()));
+                    replicas.forEach(replica -> feed.slotsChanged(replica.machine.slots()));
                 }
             }
             time.after(time.between(0, TICK_US), this::tick);
@@ -208,61 +210,61 @@
             if (process != this) {
                 return;
             }
-            time.after((long) (TICK_US / rate), this::tick);
-            if (stopped) {
+            time.after((long) (TICK_US / clockRate), this::tick);
+            if (suspended) {
                 tickDue = true;
                 return;
             }
             handle(new MemberEvent.Tick());
             if (ticks++ % 20 == 0) {
-                tellPeers();
+                passOnPeers();
             }
-            for (Lane lane : lanes) {
-                if (runs()) {
-                    lane.handle(new CopyEvent.Tick());
+            for (ShardReplica replica : replicas) {
+                if (isRunning()) {
+                    replica.handle(new CopyEvent.Tick());
                 }
             }
-            tickObserving();
-            cluster.oracle.ticked(this);
+            tickFeedAndObserver();
+            fleet.oracle.ticked(this);
         }
 
-        private void tickObserving() {
-            if (feed != null && runs()) {
+        private void tickFeedAndObserver() {
+            if (feed != null && isRunning()) {
                 feed.handle(new FeedEvent.Tick());
             }
-            if (observer != null && runs()) {
+            if (observer != null && isRunning()) {
                 observer.handle(new ObserverEvent.Tick());
             }
         }
 
-        /** Returns whether a trap was due at this action, and sprang. */
-        boolean sprang() {
-            boolean springs = trapIn >= 0 && trapIn-- == 0;
-            if (springs) {
+        /** Runs the trap if it is set for the next action, and returns whether it was. */
+        boolean triggerTrap() {
+            boolean triggered = actionsUntilTrap >= 0 && actionsUntilTrap-- == 0;
+            if (triggered) {
                 trap.run();
             }
-            return springs;
+            return triggered;
         }
 
         private void resume() {
             if (process != this) {
                 return;
             }
-            time.note("%s goes on with %d waiting", name, waiting.size());
-            stopped = false;
-            List<Runnable> burst = new ArrayList<>(waiting);
-            waiting.clear();
+            time.log("%s resumes with %d messages waiting", name, inbox.size());
+            suspended = false;
+            List<Runnable> burst = new ArrayList<>(inbox);
+            inbox.clear();
             if (tickDue) {
                 tickDue = false;
                 burst.add(time.below(burst.size() + 1), () -> {
                     handle(new MemberEvent.Tick());
-                    lanes.forEach(lane -> lane.handle(new CopyEvent.Tick()));
-                    tickObserving();
+                    replicas.forEach(replica -> replica.handle(new CopyEvent.Tick()));
+                    tickFeedAndObserver();
                 });
             }
-            List.copyOf(owed).forEach(Runnable::run);
-            owed.clear();
-            lanes.forEach(lane -> lane.out.drain());
+            List.copyOf(deferredWork).forEach(Runnable::run);
+            deferredWork.clear();
+            replicas.forEach(replica -> replica.out.drain());
             if (feed != null) {
                 feed.drain();
             }
@@ -272,131 +274,132 @@
             burst.forEach(this::receive);
         }
 
-        /** Lets the process work on something now, or when it goes on. */
+        /** Handles a message now or, if the process is suspended, when it resumes, unless its socket buffer is full. */
         void receive(Runnable work) {
-            if (runs()) {
+            if (isRunning()) {
                 work.run();
-            } else if (process == this && waiting.size() < SOCKET_BUFFER) {
-                waiting.add(work);
+            } else if (process == this && inbox.size() < SOCKET_BUFFER_MESSAGES) {
+                inbox.add(work);
             }
         }
 
-        /** Has the process do something of its own, now or when it goes on; unlike a message it never gets lost. */
-        void whenItRuns(Runnable work) {
-            if (runs()) {
+        /** Runs work of the process itself now, or when it resumes; unlike a message, the work is never lost. */
+        void runWhenResumed(Runnable work) {
+            if (isRunning()) {
                 work.run();
             } else {
-                owed.add(work);
+                deferredWork.add(work);
             }
         }
 
         void handle(MemberEvent event) {
             List<MemberAction> actions = new ArrayList<>();
-            membership.handle(clockUs(), cluster.plant.reaching(Node.this, event), actions::add);
+            membership.handle(clockUs(), fleet.faultInjection.replaceEvent(Node.this, event), actions::add);
             boolean changed = false;
             for (MemberAction action : actions) {
                 if (action instanceof MemberAction.SendTo send) {
-                    cluster.carry(Node.this, send);
-                } else if (action instanceof MemberAction.Changed news) {
-                    time.note("%s holds %s %s", name, news.member().life(), news.member().standing());
+                    fleet.send(Node.this, send);
+                } else if (action instanceof MemberAction.Changed reported) {
+                    time.log("%s sees %s %s", name, reported.member().life(), reported.member().standing());
                     changed = true;
                 }
             }
             if (changed) {
-                tellPeers();
+                passOnPeers();
             }
         }
 
-        private void tellPeers() {
+        private void passOnPeers() {
             Map<String, Long> living = membership.roundTripUs();
-            if (cluster.layout == Layout.FEW_VOTE) {
+            if (fleet.layout == Layout.FEW_VOTE) {
                 living = new TreeMap<>(living);
-                living.keySet().retainAll(cluster.configured);
+                living.keySet().retainAll(fleet.configured);
             }
-            if (feed != null && runs()) {
+            if (feed != null && isRunning()) {
                 feed.handle(new FeedEvent.Voters(living.keySet()));
             }
-            if (observer != null && runs()) {
+            if (observer != null && isRunning()) {
                 observer.handle(new ObserverEvent.Voters(living));
             }
             CopyEvent.Peers peers = new CopyEvent.Peers(living);
-            for (Lane lane : lanes) {
-                if (runs()) {
-                    lane.handle(peers);
+            for (ShardReplica replica : replicas) {
+                if (isRunning()) {
+                    replica.handle(peers);
                 }
             }
         }
     }
 
-    /** One shard of a process, and its actions that are still to be carried out, in order. */
-    final class Lane {
+    /** A process's replica of one shard, and the actions of the replica that are still to be carried out, in order. */
+    final class ShardReplica {
         final Process owner;
         final int shard;
         final Shard machine;
+        /** The state that the oracle keeps about this replica. */
         final Oracle.View view = new Oracle.View();
-        private final Outgoing<CopyAction> out;
-        private List<Slot> writing;
+        private final ActionQueue<CopyAction> out;
+        private List<Slot> slotsBeingWritten;
 
-        Lane(Process owner, int shard, Shard machine) {
+        ShardReplica(Process owner, int shard, Shard machine) {
             this.owner = owner;
             this.shard = shard;
             this.machine = machine;
-            out = new Outgoing<>(owner, time, this::carry);
+            out = new ActionQueue<>(owner, time, this::carryOut);
         }
 
         void handle(CopyEvent event) {
-            for (CopyEvent reaching : cluster.plant.reaching(Node.this, shard, event)) {
+            for (CopyEvent injectedEvent : fleet.faultInjection.replaceEvent(Node.this, shard, event)) {
                 if (process != owner) {
                     return;
                 }
                 List<CopyAction> actions = new ArrayList<>();
-                machine.handle(clockUs(), reaching, actions::add);
+                machine.handle(clockUs(), injectedEvent, actions::add);
                 for (CopyAction action : actions) {
-                    for (CopyAction leaving : cluster.plant.leaving(Node.this, shard, action)) {
-                        cluster.oracle.emitted(this, leaving);
-                        out.add(leaving);
+                    for (CopyAction injectedAction : fleet.faultInjection.replaceAction(Node.this, shard, action)) {
+                        fleet.oracle.emitted(this, injectedAction);
+                        out.add(injectedAction);
                     }
                 }
             }
             out.drain();
         }
 
-        private void carry(CopyAction action, long madeUs) {
+        private void carryOut(CopyAction action, long createdUs) {
             if (action instanceof CopyAction.Send send) {
-                boolean facts = send.message() instanceof CopyMessage.Facts;
-                if (time.nowUs() - madeUs <= (facts ? LATE_FACTS_US : LATE_US)) {
-                    cluster.carry(this, send);
+                boolean carriesEntries = send.message() instanceof CopyMessage.Facts;
+                if (time.nowUs() - createdUs <= (carriesEntries ? MAX_ENTRY_SEND_DELAY_US : MAX_SEND_DELAY_US)) {
+                    fleet.send(this, send);
                 }
             } else if (action instanceof CopyAction.Persist persist) {
                 persist(persist.slots());
             } else {
-                cluster.oracle.carried(this, action);
+                fleet.oracle.carriedOut(this, action);
                 if (owner.feed != null) {
-                    owner.feed.carried(this, action);
+                    owner.feed.shardActed(this, action);
                 }
             }
         }
 
         private void persist(List<Slot> slots) {
             if (directory) {
-                writing = slots;
-                out.hold();
-                time.after(time.between(0, slowestWriteUs), () -> {
+                slotsBeingWritten = slots;
+                out.pause();
+                time.after(time.between(0, maxWriteUs), () -> {
                     if (process == owner) {
                         write(slots);
-                        writing = null;
-                        feed(slots);
-                        out.release();
+                        slotsBeingWritten = null;
+                        passToFeed(slots);
+                        out.resume();
                     }
                 });
             } else {
-                feed(slots);
+                passToFeed(slots);
             }
         }
 
-        private void feed(List<Slot> slots) {
+        private void passToFeed(List<Slot> slots) {
             if (owner.feed != null) {
-                owner.whenItRuns(() -> owner.feed.changed(slots));
+                owner.runWhenResumed(() -> owner.feed.slotsChanged(slots));
             }
         }
 
@@ -407,7 +410,7 @@
                     disk.get(shard).put(slot.key(), slot);
                 }
             }
-            cluster.oracle.written(Node.this, slots);
+            fleet.oracle.written(Node.this, slots);
         }
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
@@ -17,178 +17,188 @@
 import walkpost.fleet.sim.Violation.Rule;
 
 /**
- * Compares what observers act on with what truly happened among the voters, which the {@link Oracle} knows. It shares nothing with the
- * machines: what is over it finds by who replaced whom.
+ * Checks the orders that observers act on against the history of the voters, which the {@link Oracle} records. It shares no code with the
+ * state machines: it decides whether an order is replaced by following which order replaced which.
  */
 final class ObserverOracle {
-    private static final double RATE = 0.98;
-    /** A copy that no level voter has confirmed for so long, by any clock, is no longer level. */
-    private static final long UNCONFIRMED_US = (long) ((ObserveSettings.usual().silenceUs() + ObserveSettings.usual().beatUs()) / RATE)
-            + 100 * Timeline.MS;
+    private static final double MIN_CLOCK_RATE = 0.98;
+    /** A copy that no caught-up voter has confirmed for this time, by the slowest clock, is no longer caught up. */
+    private static final long MAX_UNCONFIRMED_US =
+            (long) ((ObserveSettings.usual().silenceUs() + ObserveSettings.usual().beatUs()) / MIN_CLOCK_RATE) + 100 * SimClock.MILLI_US;
 
-    /** What a voter said, when, and since when it was level for all that its process knew; never, where it was not. */
-    record Said(ObserveMessage message, long atUs, boolean level, long lostUs) { }
+    /**
+     * A message that a voter has sent.
+     *
+     * @param caughtUp whether the voter's process knew all its shards to be caught up
+     * @param lastBehindUs the latest time at which a shard of the voter was not caught up
+     */
+    record SentMessage(ObserveMessage message, long atUs, boolean caughtUp, long lastBehindUs) { }
 
-    /** What one life of an observer has shown so far. */
+    /** What one life of an observer has reported so far. */
     static final class View {
-        private final Map<Order.Key, Acting> stands = new HashMap<>();
-        private final Set<String> over = new HashSet<>();
+        private final Map<Order.Key, Acting> effectiveOrders = new HashMap<>();
+        private final Set<String> replaced = new HashSet<>();
         private final Set<String> acted = new HashSet<>();
-        /** Answers to beats, by level voters, that were read. */
-        private final Deque<Said> confirmed = new ArrayDeque<>();
+        /** The answers of caught-up voters to heartbeats that the observer has read. */
+        private final Deque<SentMessage> confirmations = new ArrayDeque<>();
         private long confirmedUs = Long.MIN_VALUE / 4;
     }
 
-    private final Cluster cluster;
+    private final SimulatedFleet fleet;
     private final Oracle oracle;
     private Set<String> miscounted = Set.of();
 
-    ObserverOracle(Cluster cluster, Oracle oracle) {
-        this.cluster = cluster;
+    ObserverOracle(SimulatedFleet fleet, Oracle oracle) {
+        this.fleet = fleet;
         this.oracle = oracle;
     }
 
-    Said said(FeedLane by, ObserveMessage message) {
-        return new Said(message, cluster.time.nowUs(), by.level(), by.lostUs());
+    SentMessage sent(SimulatedFeed by, ObserveMessage message) {
+        return new SentMessage(message, fleet.time.nowUs(), by.isCaughtUp(), by.lastBehindUs());
     }
 
-    /** An observer is about to read what a voter said. */
-    void read(ObserverLane lane, Said said) {
-        if (said.level && said.message instanceof ObserveMessage.Echo) {
-            lane.view.confirmed.add(said);
-            lane.view.confirmedUs = Math.max(lane.view.confirmedUs, said.atUs);
+    /** Records that an observer is about to read a message of a voter. */
+    void read(SimulatedObserver observer, SentMessage sent) {
+        if (sent.caughtUp && sent.message instanceof ObserveMessage.Echo) {
+            observer.view.confirmations.add(sent);
+            observer.view.confirmedUs = Math.max(observer.view.confirmedUs, sent.atUs);
         }
-        lane.view.confirmed.removeIf(old -> cluster.time.nowUs() - old.atUs > UNCONFIRMED_US);
-    }
-
-    void emitted(ObserverLane lane, ObserverAction action) {
-        if (action instanceof ObserverAction.Stands news) {
-            cluster.time.note("%s stands %s %s", name(lane), news.key(), news.acting());
-            stands(lane, news.key(), news.acting());
-        } else if (action instanceof ObserverAction.Level news) {
-            cluster.time.note("%s level %s", name(lane), news.level());
-            if (news.level()) {
-                mustBeConfirmed(lane);
-                mustHoldAll(lane);
+        observer.view.confirmations.removeIf(old -> fleet.time.nowUs() - old.atUs > MAX_UNCONFIRMED_US);
+    }
+
+    /** Checks an action that an observer's state machine has emitted. */
+    void emitted(SimulatedObserver observer, ObserverAction action) {
+        if (action instanceof ObserverAction.Stands reported) {
+            fleet.time.log("%s acts on %s: %s", name(observer), reported.key(), reported.acting());
+            checkOrder(observer, reported.key(), reported.acting());
+        } else if (action instanceof ObserverAction.Level reported) {
+            fleet.time.log("%s caught up: %s", name(observer), reported.level());
+            if (reported.level()) {
+                checkConfirmed(observer);
+                checkHoldsAll(observer);
             }
         }
     }
 
-    private void stands(ObserverLane lane, Order.Key key, Acting acting) {
-        View view = lane.view;
-        List<Order> heads = heads(acting);
-        heads.forEach(oracle::decided);
+    private void checkOrder(SimulatedObserver observer, Order.Key key, Acting order) {
+        View view = observer.view;
+        List<Order> heads = heads(order);
+        heads.forEach(oracle::checkDecided);
         Set<String> ids = ids(heads);
-        ids.stream().filter(view.over::contains).forEach(id -> {
-            throw new Violation(Rule.OVER, id + " was over at " + name(lane) + " and is back");
+        ids.stream().filter(view.replaced::contains).forEach(id -> {
+            throw new Violation(Rule.OVER, id + " was replaced at " + name(observer) + " and is in force again");
         });
-        for (Order before : heads(view.stands.get(key))) {
-            if (!ids.contains(before.id())) {
-                if (oracle.successors(before.id()).stream().noneMatch(ids::contains)) {
-                    throw new Violation(Rule.KEPT, name(lane) + " acted on " + before + " and does so no more, though what stands, "
-                            + ids + ", did not replace it");
+        for (Order previous : heads(view.effectiveOrders.get(key))) {
+            if (!ids.contains(previous.id())) {
+                if (oracle.successors(previous.id()).stream().noneMatch(ids::contains)) {
+                    throw new Violation(Rule.KEPT, name(observer) + " no longer acts on " + previous
+                            + ", though the orders in force, " + ids + ", did not replace it");
                 }
-                view.over.add(before.id());
+                view.replaced.add(previous.id());
             }
         }
-        heads.forEach(head -> view.over.addAll(head.replaces()));
+        heads.forEach(head -> view.replaced.addAll(head.replaces()));
         view.acted.addAll(ids);
-        Oracle.acted(name(lane), heads, acting, acting);
-        view.stands.put(key, acting);
+        Oracle.checkEffectiveOrder(name(observer), heads, order, order);
+        view.effectiveOrders.put(key, order);
     }
 
-    private void mustBeConfirmed(ObserverLane lane) {
-        if (lane.view.confirmed.stream().noneMatch(said -> cluster.time.nowUs() - said.atUs <= UNCONFIRMED_US)) {
-            throw new Violation(Rule.LEVEL, name(lane) + " is level, and no level voter has answered it of late");
+    private void checkConfirmed(SimulatedObserver observer) {
+        if (observer.view.confirmations.stream().noneMatch(sent -> fleet.time.nowUs() - sent.atUs <= MAX_UNCONFIRMED_US)) {
+            throw new Violation(Rule.LEVEL, name(observer) + " is caught up, though no caught-up voter has answered it recently");
         }
     }
 
-    /** Who is level holds all that was acknowledged before the voter that said so began to catch up. */
-    private void mustHoldAll(ObserverLane lane) {
-        long lostUs = lane.view.confirmed.stream().mapToLong(Said::lostUs).min().orElse(0);
-        if (oracle.remembered()) {
-            oracle.calls().stream().filter(call -> call.acknowledgedBefore(lostUs)).forEach(call -> kept(lane, call));
+    /** Checks that a caught-up observer holds all orders acknowledged before the voter that confirmed it was last behind. */
+    private void checkHoldsAll(SimulatedObserver observer) {
+        long lastBehindUs = observer.view.confirmations.stream().mapToLong(SentMessage::lastBehindUs).min().orElse(0);
+        if (oracle.votersRemember()) {
+            oracle.calls().stream().filter(call -> call.acknowledgedBefore(lastBehindUs)).forEach(call -> checkKept(observer, call));
         }
     }
 
-    void carried(ObserverLane lane, ObserverAction action) {
-        if (action instanceof ObserverAction.Acknowledged news) {
-            oracle.mustBeHeld(news.order());
-            oracle.acknowledged(lane.owner, news.id(), news.order());
-        } else if (action instanceof ObserverAction.Refused news) {
-            oracle.refused(lane.owner, news.id(), news.why());
+    /** Checks an answer to an order that an observer's process has given to its caller. */
+    void carriedOut(SimulatedObserver observer, ObserverAction action) {
+        if (action instanceof ObserverAction.Acknowledged reported) {
+            oracle.checkHeld(reported.order());
+            oracle.acknowledged(observer.owner, reported.id(), reported.order());
+        } else if (action instanceof ObserverAction.Refused reported) {
+            oracle.refused(observer.owner, reported.id(), reported.why());
         }
     }
 
-    void ticked(ObserverLane lane) {
-        long nowUs = cluster.time.nowUs();
-        long ageUs = lane.machine.controlAgeUs(lane.owner.node().clockUs());
-        long trueUs = nowUs - lane.view.confirmedUs;
-        if (ageUs < trueUs * RATE - Timeline.MS) {
-            throw new Violation(Rule.AGE, name(lane) + " was sure of its copy " + ageUs + " us ago, it says, and no level voter has "
-                    + "answered it for " + trueUs + " us");
+    /** Checks the state that an observer shows after a tick. */
+    void ticked(SimulatedObserver observer) {
+        long nowUs = fleet.time.nowUs();
+        long ageUs = observer.machine.controlAgeUs(observer.owner.node().clockUs());
+        long trueUs = nowUs - observer.view.confirmedUs;
+        if (ageUs < trueUs * MIN_CLOCK_RATE - SimClock.MILLI_US) {
+            throw new Violation(Rule.AGE, name(observer) + " reports that its copy was in sync " + ageUs + " us ago, "
+                    + "but no caught-up voter has answered it for " + trueUs + " us");
         }
-        if (lane.machine.level()) {
-            mustBeConfirmed(lane);
-            lane.machine.acting().forEach((key, acting) -> {
-                Acting told = lane.view.stands.get(key);
-                if (!acting.equals(told) && (acting.payload() != null || told != null && told.payload() != null)) {
-                    throw new Violation(Rule.ACTING, name(lane) + " holds " + acting + " and told " + told);
+        if (observer.machine.level()) {
+            checkConfirmed(observer);
+            observer.machine.acting().forEach((key, order) -> {
+                Acting reported = observer.view.effectiveOrders.get(key);
+                if (!order.equals(reported) && (order.payload() != null || reported != null && reported.payload() != null)) {
+                    throw new Violation(Rule.ACTING, name(observer) + " holds " + order + " and reported " + reported);
                 }
             });
         }
     }
 
-    /** Some time after the last fault. */
-    void settled() {
-        Node voter = cluster.nodes.get(0);
+    /** Checks all living observers some time after the last fault. */
+    void checkSettled() {
+        Node voter = fleet.nodes.get(0);
         Map<Order.Key, Slot> slots = new HashMap<>();
-        voter.process().lanes.forEach(lane -> lane.machine.slots().forEach(slot -> slots.put(slot.key(), slot)));
-        List<ObserverLane> live = cluster.nodes.stream().filter(node -> node.alive() && node.process().observer != null)
+        voter.process().replicas.forEach(observer -> observer.machine.slots().forEach(slot -> slots.put(slot.key(), slot)));
+        List<SimulatedObserver> live = fleet.nodes.stream().filter(node -> node.alive() && node.process().observer != null)
                 .map(node -> node.process().observer).toList();
         Set<String> acted = new HashSet<>();
-        live.forEach(lane -> acted.addAll(lane.view.acted));
-        for (ObserverLane lane : live) {
-            if (!lane.machine.level()) {
-                throw new Violation(Rule.SERVES, name(lane) + " is not level though all is well");
+        live.forEach(observer -> acted.addAll(observer.view.acted));
+        for (SimulatedObserver observer : live) {
+            if (!observer.machine.level()) {
+                throw new Violation(Rule.SERVES, name(observer) + " is not caught up though no fault is left");
             }
             Set<Order.Key> keys = new HashSet<>(slots.keySet());
-            keys.addAll(lane.view.stands.keySet());
-            keys.forEach(key -> met(lane, key, slots.get(key)));
-            // What an observer that lives has acted on is given back, also to voters that have forgotten all.
+            keys.addAll(observer.view.effectiveOrders.keySet());
+            keys.forEach(key -> checkConverged(observer, key, slots.get(key)));
+            // A living observer returns the orders that it has acted on, even to voters that have lost them all.
             oracle.calls().stream().filter(call -> call.acknowledgedBefore(Long.MAX_VALUE))
-                    .filter(call -> oracle.majorityRemembers() || acted.contains(call.id)).forEach(call -> kept(lane, call));
+                    .filter(call -> oracle.majorityRemembers() || acted.contains(call.id)).forEach(call -> checkKept(observer, call));
         }
     }
 
-    private void met(ObserverLane lane, Order.Key key, Slot slot) {
+    private void checkConverged(SimulatedObserver observer, Order.Key key, Slot slot) {
         List<Order> heads = slot == null ? List.of() : slot.heads();
-        List<Order> here = heads(lane.view.stands.get(key));
-        if (!ids(heads).equals(ids(here)) && !(nothing(heads) && nothing(here))) {
-            throw new Violation(Rule.MEET, name(lane) + " acts on " + here + " and what stands is " + heads);
+        List<Order> observed = heads(observer.view.effectiveOrders.get(key));
+        if (!ids(heads).equals(ids(observed)) && !(nothingInForce(heads) && nothingInForce(observed))) {
+            throw new Violation(Rule.MEET, name(observer) + " acts on " + observed + ", but in force are " + heads);
         }
     }
 
-    private void kept(ObserverLane lane, Oracle.Call call) {
-        List<Order> heads = heads(lane.view.stands.get(call.key));
-        Set<String> after = oracle.successors(call.id);
-        if (ids(heads).stream().noneMatch(after::contains) && !(nothing(heads) && oracle.removal(after))) {
-            throw new Violation(Rule.KEPT, call.id + ", acknowledged, is not in force at " + name(lane) + " nor was replaced: " + heads);
+    private void checkKept(SimulatedObserver observer, Oracle.Call call) {
+        List<Order> heads = heads(observer.view.effectiveOrders.get(call.key));
+        Set<String> successors = oracle.successors(call.id);
+        if (ids(heads).stream().noneMatch(successors::contains) && !(nothingInForce(heads) && oracle.includesRemoval(successors))) {
+            throw new Violation(Rule.KEPT,
+                    call.id + " was acknowledged, but is neither in force nor replaced at " + name(observer) + ": " + heads);
         }
     }
 
     /**
-     * How many live is known to all of them, but for the few seconds in which an observer changes the voter that counts it. To be called
-     * twice, further apart than that.
+     * Checks that all members know the number of living observers. A count may be wrong for the few seconds in which an observer changes
+     * the voter that counts it; so the caller calls this twice, further apart than that, and only the second wrong count of a member fails.
      */
-    void counted() {
-        long live = cluster.nodes.stream().filter(node -> node.alive() && node.process().observer != null).count();
+    void checkCounts() {
+        long living = fleet.nodes.stream().filter(node -> node.alive() && node.process().observer != null).count();
         Set<String> wrong = new HashSet<>();
-        for (Node node : cluster.nodes) {
-            if (node.alive() && counts(node.process()).values().stream().mapToInt(Integer::intValue).sum() != live) {
+        for (Node node : fleet.nodes) {
+            if (node.alive() && counts(node.process()).values().stream().mapToInt(Integer::intValue).sum() != living) {
                 wrong.add(node.name);
                 if (miscounted.contains(node.name)) {
-                    throw new Violation(Rule.MEMBERS, node.name + " counts " + counts(node.process()) + " and " + live + " live");
+                    throw new Violation(Rule.MEMBERS,
+                            node.name + " counts " + counts(node.process()) + " observers, but " + living + " are alive");
                 }
             }
         }
@@ -199,16 +209,16 @@
         return process.observer == null ? process.feed.lives() : process.observer.machine.lives();
     }
 
-    private static boolean nothing(List<Order> heads) {
+    private static boolean nothingInForce(List<Order> heads) {
         return heads.stream().allMatch(head -> head.payload() == null);
     }
 
-    private static List<Order> heads(Acting acting) {
-        if (acting == null || acting.chosen() == null) {
+    private static List<Order> heads(Acting order) {
+        if (order == null || order.chosen() == null) {
             return List.of();
         }
-        List<Order> heads = new ArrayList<>(acting.rivals());
-        heads.add(acting.chosen());
+        List<Order> heads = new ArrayList<>(order.rivals());
+        heads.add(order.chosen());
         return heads;
     }
 
@@ -218,7 +228,7 @@
         return ids;
     }
 
-    private static String name(ObserverLane lane) {
-        return lane.owner.node().name;
+    private static String name(SimulatedObserver observer) {
+        return observer.owner.node().name;
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/sim/ObserverSimulationTest.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/ObserverSimulationTest.java
@@ -9,39 +9,39 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Three voters and twelve observers under faults drawn from a seed; see {@link Play}. */
+/** Simulates three voters and twelve observers under random faults; see {@link SeedRunner}. */
 class ObserverSimulationTest {
     private static final int SEEDS = 200;
 
-    private final Play play = new Play(Layout.FEW_VOTE, getClass());
+    private final SeedRunner runner = new SeedRunner(Layout.FEW_VOTE, getClass());
 
     @Test
-    void observersAndVotersKeepTheirPromisesUnderEverySeed() {
-        play.all(SEEDS);
+    void observersAndVotersKeepAllRulesUnderEverySeed() {
+        runner.runAll(SEEDS);
     }
 
-    /** Seeds that failed once and lie above those played each time. */
+    /** Guards against the return of faults that these seeds once found; they lie above the seeds that each build runs. */
     @ParameterizedTest
     @ValueSource(longs = {1_147, 1_752})
-    void seedThatFailedOnceStaysMended(long seed) {
-        assertThat(play.failure(seed, new Plant())).isEmpty();
+    void seedThatFailedBeforeKeepsAllRules(long seed) {
+        assertThat(runner.failure(seed, new FaultInjection())).isEmpty();
     }
 
     @Test
-    void seedIsPlayedTheSameWayTwice() {
+    void twoRunsOfASeedAreEqual() {
         for (long seed = 0; seed < 5; seed++) {
-            assertThat(play.hash(seed)).isEqualTo(play.hash(seed));
+            assertThat(runner.hash(seed)).isEqualTo(runner.hash(seed));
         }
     }
 
     @ParameterizedTest
     @MethodSource
-    void oracleFindsPlantedFault(Planted planted) {
-        assumeFalse(Play.one(), "one seed is played as it is");
-        play.finds(planted, SEEDS);
+    void oracleFindsPlantedFault(PlantedFault planted) {
+        assumeFalse(SeedRunner.runsSingleSeed(), "a single selected seed is run without planted faults");
+        runner.assertFound(planted, SEEDS);
     }
 
-    static Stream<Planted> oracleFindsPlantedFault() {
-        return Planted.in(Layout.FEW_VOTE);
+    static Stream<PlantedFault> oracleFindsPlantedFault() {
+        return PlantedFault.in(Layout.FEW_VOTE);
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
@@ -24,30 +24,32 @@
 import walkpost.fleet.sim.Violation.Rule;
 
 /**
- * Knows what truly happened, and compares it with what members emit and show. It shares nothing with the merge rule: whether an order is
- * kept it finds by following who replaced whom among the orders that it has seen decided.
+ * Records the true history of a run, and checks what members emit and show against it. It shares no code with the merge rule: it decides
+ * whether an order is kept by following which order replaced which, among the orders that it has seen decided.
  */
 final class Oracle {
-    /** Monotonic clocks are this wrong at most. */
-    private static final double RATE = 0.98;
-    /** What a fact may wait at each hop beside its way without being older for it: in a lane, and for a tick that comes late. */
-    private static final long HOP_US = 200 * Timeline.MS;
-    private static final long SAMPLE_TICKS = 8;
-    private static final long LONGEST_TICK_US = 60 * Timeline.MS;
-
-    /** An operator's order, sent once or more often. */
+    /** The rate of the slowest monotonic clock. */
+    private static final double MIN_CLOCK_RATE = 0.98;
+    /** The time that an entry may wait at each hop without a higher age: in the queue of actions, and for a late tick. */
+    private static final long MAX_HOP_WAIT_US = 200 * SimClock.MILLI_US;
+    /** Members' states are checked at every eighth tick. */
+    private static final long SAMPLE_INTERVAL_TICKS = 8;
+    private static final long MAX_TICK_US = 60 * SimClock.MILLI_US;
+
+    /** An operator's order, given once or several times. */
     static final class Call {
         final Order.Key key;
         final String id;
         final String replaces;
         final String payload;
+        /** The processes that have not answered yet, once for each time that the order was given to them. */
         private final Deque<Node.Process> open = new ArrayDeque<>();
         private boolean uncertain;
-        /** Since when a majority holds it, for all that the oracle knows. */
+        /** The time since which a majority holds the order, as far as the oracle knows; -1 if none does. */
         private long acknowledgedUs = -1;
-        /** Whether a caller was told so. */
+        /** Whether a caller has received the acknowledgement. */
         private boolean confirmed;
-        private String last = "never answered";
+        private String lastAnswer = "never answered";
 
         private Call(Order.Key key, String id, String replaces, String payload) {
             this.key = key;
@@ -56,7 +58,7 @@
             this.payload = payload;
         }
 
-        private boolean refused() {
+        private boolean isRefused() {
             return open.isEmpty() && !uncertain && !confirmed;
         }
 
@@ -65,355 +67,375 @@
         }
     }
 
-    /** What one shard of one process has told so far. */
+    /** The state that the oracle keeps about one replica: what it has reported and read so far. */
     static final class View {
-        private boolean level;
+        private boolean caughtUp;
         private boolean mustCatchUp;
-        private long lostUs;
-        private long deafUntilUs;
-        private int samples;
-        private final Map<String, Long> waysUs = new HashMap<>();
-        private final Set<String> heard = new HashSet<>();
-        private final Map<Order.Key, Acting> stands = new HashMap<>();
-        private final Map<Fact.Key, Fact> fresh = new HashMap<>();
+        private long lastBehindUs;
+        private long suspendedUntilUs;
+        private int ticks;
+        /** The time in transit by payload, summed over all hops. */
+        private final Map<String, Long> transitUs = new HashMap<>();
+        private final Set<String> heardFrom = new HashSet<>();
+        private final Map<Order.Key, Acting> effectiveOrders = new HashMap<>();
+        private final Map<Fact.Key, Fact> freshEntries = new HashMap<>();
         private final Map<Order.Key, Set<String>> heads = new HashMap<>();
-        private final Set<String> over = new HashSet<>();
+        private final Set<String> replaced = new HashSet<>();
         private final Map<Order.Key, Promise> promises = new HashMap<>();
     }
 
-    /** One coordinator's try at an order. */
-    private record Round(String of, long number) { }
+    /** A coordinator's round for an order. */
+    private record Round(String coordinator, long number) { }
 
     private record Promise(String id, Round round, long atUs) { }
 
-    private record Told(long atUs, String payload) { }
+    private record Written(long atUs, String payload) { }
 
-    private final Cluster cluster;
+    private final SimulatedFleet fleet;
     private final boolean directories;
     private final Map<String, Call> calls = new TreeMap<>();
-    /** An order whose copies all lost their memory may be decided once more, and then replaces something else. */
+    /** The decided orders by id. An order that all members have forgotten may be decided again, and then replaces other orders. */
     private final Map<String, Set<Order>> decided = new HashMap<>();
     private final Map<String, Set<String>> replacedBy = new HashMap<>();
     private final Map<String, Set<String>> promisedBy = new HashMap<>();
     private final Map<String, Set<String>> holders = new HashMap<>();
-    private final Map<String, Long> toldUs = new HashMap<>();
-    private final Map<Fact.Key, Told> lastTold = new HashMap<>();
-    private final Set<Round> givenUp = new HashSet<>();
-    private final Map<String, Long> diedUs = new HashMap<>();
+    private final Map<String, Long> writtenAtUs = new HashMap<>();
+    private final Map<Fact.Key, Written> lastWritten = new HashMap<>();
+    private final Set<Round> abandonedRounds = new HashSet<>();
+    private final Map<String, Long> lastKilledUs = new HashMap<>();
     private final Set<Call> probes = new HashSet<>();
-    private final Map<Order, Long> proposedUs = new HashMap<>();
+    private final Map<Order, Long> proposedAtUs = new HashMap<>();
     final ObserverOracle observers;
     private long lastKillUs = -1;
 
-    Oracle(Cluster cluster, boolean directories) {
-        this.cluster = cluster;
+    Oracle(SimulatedFleet fleet, boolean directories) {
+        this.fleet = fleet;
         this.directories = directories;
-        observers = new ObserverOracle(cluster, this);
+        observers = new ObserverOracle(fleet, this);
     }
 
     Collection<Call> calls() {
         return calls.values();
     }
 
-    /** Returns whether voters that were killed have forgotten nothing. */
-    boolean remembered() {
+    /** Returns whether no voter has lost its orders in a kill. */
+    boolean votersRemember() {
         return directories || lastKillUs < 0;
     }
 
-    // What is done to the fleet.
+    // Calls and faults.
 
-    Call called(Order.Key key, String id, String replaces, String payload) {
+    Call register(Order.Key key, String id, String replaces, String payload) {
         Call call = new Call(key, id, replaces, payload);
         calls.put(id, call);
         return call;
     }
 
-    /** An order is given to a member. */
-    void opened(Node.Process process, Call call) {
+    /** Records that an order is given to a member. */
+    void recordCall(Node.Process process, Call call) {
         call.open.add(process);
-        cluster.time.note("%s to %s: %s replaces %s payload %s", call.id, process.node().name, call.key, call.replaces, call.payload);
+        fleet.time.log("%s to %s: %s replaces %s payload %s", call.id, process.node().name, call.key, call.replaces, call.payload);
     }
 
-    void probing(Call call) {
+    /** Records an order that must be acknowledged, because no fault is left. */
+    void registerProbe(Call call) {
         probes.add(call);
     }
 
-    void told(Node.Process process, String topic, String subject, String payload) {
+    /** Records that a member writes an entry. */
+    void written(Node.Process process, String topic, String subject, String payload) {
         if (payload != null) {
-            toldUs.put(payload, cluster.time.nowUs());
+            writtenAtUs.put(payload, fleet.time.nowUs());
         }
-        lastTold.put(new Fact.Key(topic, subject, process.node().name), new Told(cluster.time.nowUs(), payload));
+        lastWritten.put(new Fact.Key(topic, subject, process.node().name), new Written(fleet.time.nowUs(), payload));
     }
 
+    /** Records the end of a process. Calls that it has not answered become uncertain. */
     void killed(Node node, Node.Process process) {
-        if (node.copies) {
-            lastKillUs = cluster.time.nowUs();
+        if (node.holdsReplicas) {
+            lastKillUs = fleet.time.nowUs();
         }
-        diedUs.put(node.name, cluster.time.nowUs());
+        lastKilledUs.put(node.name, fleet.time.nowUs());
         calls.values().stream().filter(call -> call.open.removeIf(open -> open == process)).forEach(call -> call.uncertain = true);
-        process.lanes.forEach(lane -> see(lane.machine.slots(), node, !directories));
-        lastTold.keySet().removeIf(key -> key.writer().equals(node.name));
-    }
-
-    /** A stop that is too short for the process to be sure of it changes nothing; after another, what was said before it is old. */
-    void stopped(Node.Process process, long forUs) {
-        if (forUs * RATE > Cluster.COPY.gapUs() + LONGEST_TICK_US) {
-            for (Node.Lane lane : process.lanes) {
-                lane.view.deafUntilUs = cluster.time.nowUs() + forUs;
-                lane.view.heard.clear();
-                lane.view.mustCatchUp |= lane.view.level;
+        process.replicas.forEach(replica -> observe(replica.machine.slots(), node, !directories));
+        lastWritten.keySet().removeIf(key -> key.writer().equals(node.name));
+    }
+
+    /**
+     * Records the suspension of a process. If it is too short for the process to notice it for certain, nothing changes. After a longer
+     * one, the process has to catch up, and messages sent before its end do not count for that.
+     */
+    void suspended(Node.Process process, long durationUs) {
+        if (durationUs * MIN_CLOCK_RATE > SimulatedFleet.COPY.gapUs() + MAX_TICK_US) {
+            for (Node.ShardReplica replica : process.replicas) {
+                replica.view.suspendedUntilUs = fleet.time.nowUs() + durationUs;
+                replica.view.heardFrom.clear();
+                replica.view.mustCatchUp |= replica.view.caughtUp;
             }
         }
     }
 
+    /** Records that slots were written to disk. */
     void written(Node node, List<Slot> slots) {
-        see(slots, node, true);
+        observe(slots, node, true);
     }
 
-    private void see(Collection<Slot> slots, Node node, boolean holds) {
+    /**
+     * Checks the orders in slots that a node has shown.
+     *
+     * @param durable whether the node holds them durably, so that it counts towards a majority
+     */
+    private void observe(Collection<Slot> slots, Node node, boolean durable) {
         for (Slot slot : slots) {
-            slot.heads().forEach(this::decided);
-            if (holds) {
+            slot.heads().forEach(this::checkDecided);
+            if (durable) {
                 slot.heads().forEach(head -> holders.computeIfAbsent(head.id(), id -> new HashSet<>()).add(node.name));
-                slot.replaced().keySet().forEach(over -> holders.computeIfAbsent(over, id -> new HashSet<>()).add(node.name));
+                slot.replaced().keySet().forEach(replaced -> holders.computeIfAbsent(replaced, id -> new HashSet<>()).add(node.name));
             }
         }
     }
 
-    void decided(Order order) {
+    /** Checks that an order that a member holds as decided was given, promised by a majority, and not refused. */
+    void checkDecided(Order order) {
         if (decided.computeIfAbsent(order.id(), id -> new HashSet<>()).add(order)) {
-            onlyOnce(order);
-            Set<String> by = promisedBy.getOrDefault(order.id(), Set.of());
-            if (cluster.configured.stream().filter(by::contains).count() < cluster.majority()) {
-                throw new Violation(Rule.DECIDED, order + " is decided, and promised by " + by + " only");
+            checkDecidedOnce(order);
+            Set<String> promisers = promisedBy.getOrDefault(order.id(), Set.of());
+            if (fleet.configured.stream().filter(promisers::contains).count() < fleet.majority()) {
+                throw new Violation(Rule.DECIDED, order + " is decided, but promised by " + promisers + " only");
             }
-            order.replaces().forEach(over -> replacedBy.computeIfAbsent(over, id -> new TreeSet<>()).add(order.id()));
+            order.replaces().forEach(replaced -> replacedBy.computeIfAbsent(replaced, id -> new TreeSet<>()).add(order.id()));
         }
         Call call = calls.get(order.id());
         if (call == null) {
             throw new Violation(Rule.REFUSED, order + " was never given");
         }
-        if (call.refused()) {
-            throw new Violation(Rule.REFUSED, order + " is in force, and its caller was told: " + call.last);
+        if (call.isRefused()) {
+            throw new Violation(Rule.REFUSED, order + " is in force, but its caller got the answer: " + call.lastAnswer);
         }
         if (!call.key.equals(order.key()) || !Objects.equals(call.payload, order.payload())) {
-            throw new Violation(Rule.REFUSED, order + " is not what was called for: " + call.payload);
+            throw new Violation(Rule.REFUSED, order + " differs from the call, whose payload is: " + call.payload);
         }
     }
 
-    /** An order that a majority holds is not carried out once more, whoever is asked for it. */
-    private void onlyOnce(Order order) {
+    /** Checks that an order that a majority holds is not decided again. */
+    private void checkDecidedOnce(Order order) {
         Call call = calls.get(order.id());
-        if (call != null && remembered() && call.acknowledgedBefore(proposedUs.getOrDefault(order, -1L))) {
-            throw new Violation(Rule.ONCE, order + " is decided, and " + decided.get(order.id()) + " was acknowledged before");
+        if (call != null && votersRemember() && call.acknowledgedBefore(proposedAtUs.getOrDefault(order, -1L))) {
+            throw new Violation(Rule.ONCE, order + " is decided, but " + decided.get(order.id()) + " was acknowledged before");
         }
     }
 
-    // What members say.
+    // Messages and actions of members.
 
-    /** A message has come to a computer that may be about to read it; how long its facts were on their ways is not what members count. */
-    void arrived(Node.Lane lane, Node.Lane from, CopyMessage message, long sentUs) {
-        if (message instanceof CopyMessage.Facts facts) {
-            long wayUs = cluster.time.nowUs() - sentUs + HOP_US;
-            facts.facts().forEach(fact -> lane.view.waysUs.merge(fact.payload(),
-                    from.view.waysUs.getOrDefault(fact.payload(), 0L) + wayUs, Math::max));
+    /** Records the arrival of a message. The transit time of its entries is recorded here, because members can only estimate it. */
+    void arrived(Node.ShardReplica replica, Node.ShardReplica from, CopyMessage message, long sentUs) {
+        if (message instanceof CopyMessage.Facts entries) {
+            long hopUs = fleet.time.nowUs() - sentUs + MAX_HOP_WAIT_US;
+            entries.facts().forEach(entry -> replica.view.transitUs.merge(entry.payload(),
+                    from.view.transitUs.getOrDefault(entry.payload(), 0L) + hopUs, Math::max));
         }
     }
 
-    /** A message is about to be read. */
-    void read(Node.Lane lane, String from, long sentUs) {
-        if (sentUs >= lane.view.deafUntilUs) {
-            lane.view.heard.add(from);
+    /** Records that a replica is about to read a message. */
+    void read(Node.ShardReplica replica, String from, long sentUs) {
+        if (sentUs >= replica.view.suspendedUntilUs) {
+            replica.view.heardFrom.add(from);
         }
     }
 
-    void emitted(Node.Lane lane, CopyAction action) {
-        View view = lane.view;
-        String name = lane.owner.node().name;
-        if (action instanceof CopyAction.Level news) {
-            cluster.time.note("%s[%d] level %s", name, lane.shard, news.level());
-            if (news.level()) {
-                view.heard.add(name);
-                long compared = cluster.configured.stream().filter(view.heard::contains).count();
-                if (compared < cluster.majority()) {
-                    throw new Violation(Rule.LEVEL, name + " is level, having heard only " + view.heard);
+    /** Checks an action that a replica's state machine has emitted. */
+    void emitted(Node.ShardReplica replica, CopyAction action) {
+        View view = replica.view;
+        String name = replica.owner.node().name;
+        if (action instanceof CopyAction.Level reported) {
+            fleet.time.log("%s[%d] caught up: %s", name, replica.shard, reported.level());
+            if (reported.level()) {
+                view.heardFrom.add(name);
+                long compared = fleet.configured.stream().filter(view.heardFrom::contains).count();
+                if (compared < fleet.majority()) {
+                    throw new Violation(Rule.LEVEL, name + " is caught up, but has heard only from " + view.heardFrom);
                 }
             } else {
-                view.lostUs = cluster.time.nowUs();
-                view.heard.clear();
+                view.lastBehindUs = fleet.time.nowUs();
+                view.heardFrom.clear();
                 view.mustCatchUp = false;
             }
-            view.level = news.level();
-        } else if (action instanceof CopyAction.Stands news) {
-            cluster.time.note("%s[%d] stands %s %s", name, lane.shard, news.key(), news.acting());
-            mustBeLevel(lane, action);
-            if (news.acting().chosen() != null) {
-                decided(news.acting().chosen());
+            view.caughtUp = reported.level();
+        } else if (action instanceof CopyAction.Stands reported) {
+            fleet.time.log("%s[%d] acts on %s: %s", name, replica.shard, reported.key(), reported.acting());
+            checkCaughtUp(replica, action);
+            if (reported.acting().chosen() != null) {
+                checkDecided(reported.acting().chosen());
             }
-            news.acting().rivals().forEach(this::decided);
-            view.stands.put(news.key(), news.acting());
-        } else if (action instanceof CopyAction.Heard news) {
-            if (news.fact().payload() == null) {
-                view.fresh.remove(news.fact().key());
+            reported.acting().rivals().forEach(this::checkDecided);
+            view.effectiveOrders.put(reported.key(), reported.acting());
+        } else if (action instanceof CopyAction.Heard reported) {
+            if (reported.fact().payload() == null) {
+                view.freshEntries.remove(reported.fact().key());
             } else {
-                view.fresh.put(news.fact().key(), news.fact());
+                view.freshEntries.put(reported.fact().key(), reported.fact());
             }
-        } else if (action instanceof CopyAction.Stale news) {
-            view.fresh.remove(news.key());
-        } else if (action instanceof CopyAction.Acknowledged news) {
-            mustBeHeld(news.order());
-        } else if (action instanceof CopyAction.Persist news) {
-            see(news.slots(), lane.owner.node(), !directories);
+        } else if (action instanceof CopyAction.Stale reported) {
+            view.freshEntries.remove(reported.key());
+        } else if (action instanceof CopyAction.Acknowledged reported) {
+            checkHeld(reported.order());
+        } else if (action instanceof CopyAction.Persist reported) {
+            observe(reported.slots(), replica.owner.node(), !directories);
         } else if (action instanceof CopyAction.Send send) {
-            sent(lane, send);
+            sent(replica, send);
         }
     }
 
-    private void mustBeLevel(Node.Lane lane, Object what) {
-        if (!lane.view.level || lane.view.mustCatchUp) {
-            throw new Violation(Rule.LEVEL, lane.owner.node().name + " is not level and has not caught up, and yet: " + what);
+    private void checkCaughtUp(Node.ShardReplica replica, Object emitted) {
+        if (!replica.view.caughtUp || replica.view.mustCatchUp) {
+            throw new Violation(Rule.LEVEL, replica.owner.node().name + " has not caught up, but emits " + emitted);
         }
     }
 
-    private void sent(Node.Lane lane, CopyAction.Send send) {
+    private void sent(Node.ShardReplica replica, CopyAction.Send send) {
         CopyMessage message = send.message();
-        if (message instanceof CopyMessage.Propose asked) {
-            promisedBy.computeIfAbsent(asked.order().id(), id -> new TreeSet<>()).add(lane.owner.node().name);
-            proposedUs.putIfAbsent(asked.order(), cluster.time.nowUs());
+        if (message instanceof CopyMessage.Propose proposal) {
+            promisedBy.computeIfAbsent(proposal.order().id(), id -> new TreeSet<>()).add(replica.owner.node().name);
+            proposedAtUs.putIfAbsent(proposal.order(), fleet.time.nowUs());
         } else if (message instanceof CopyMessage.Promised promised) {
-            mustBeLevel(lane, message);
-            cluster.time.note("%s[%d] promises %s round %d", lane.owner.node().name, lane.shard, promised.id(), promised.round());
-            promisedBy.computeIfAbsent(promised.id(), id -> new TreeSet<>()).add(lane.owner.node().name);
-            long nowUs = cluster.time.nowUs();
+            checkCaughtUp(replica, message);
+            fleet.time.log("%s[%d] promises %s round %d", replica.owner.node().name, replica.shard, promised.id(), promised.round());
+            promisedBy.computeIfAbsent(promised.id(), id -> new TreeSet<>()).add(replica.owner.node().name);
+            long nowUs = fleet.time.nowUs();
             Order.Key key = calls.get(promised.id()).key;
-            Promise made = new Promise(promised.id(), new Round(send.to(), promised.round()), nowUs);
-            Promise before = lane.view.promises.get(key);
-            if (before == null || !before.round.equals(made.round)) {
-                lane.view.promises.put(key, made);
+            Promise promise = new Promise(promised.id(), new Round(send.to(), promised.round()), nowUs);
+            Promise previous = replica.view.promises.get(key);
+            if (previous == null || !previous.round.equals(promise.round)) {
+                replica.view.promises.put(key, promise);
             }
-            if (before != null && !before.id.equals(promised.id()) && (nowUs - before.atUs) / RATE < Cluster.COPY.promiseUs()
-                    && !decided.containsKey(before.id) && !givenUp.contains(before.round)) {
-                throw new Violation(Rule.PROMISE, lane.owner.node().name + " promises " + key + " to " + before.id
+            if (previous != null && !previous.id.equals(promised.id())
+                    && (nowUs - previous.atUs) / MIN_CLOCK_RATE < SimulatedFleet.COPY.promiseUs()
+                    && !decided.containsKey(previous.id) && !abandonedRounds.contains(previous.round)) {
+                throw new Violation(Rule.PROMISE, replica.owner.node().name + " promises " + key + " to both " + previous.id
                         + " and " + promised.id());
             }
-        } else if (message instanceof CopyMessage.Forget forget) {
-            cluster.time.note("%s[%d] forgets round %d", lane.owner.node().name, lane.shard, forget.round());
-            givenUp.add(new Round(lane.owner.node().name, forget.round()));
+        } else if (message instanceof CopyMessage.Forget release) {
+            fleet.time.log("%s[%d] abandons round %d", replica.owner.node().name, replica.shard, release.round());
+            abandonedRounds.add(new Round(replica.owner.node().name, release.round()));
         } else if (message instanceof CopyMessage.Held) {
-            mustBeLevel(lane, message);
+            checkCaughtUp(replica, message);
         }
     }
 
-    void mustBeHeld(Order order) {
+    /** Checks that a majority holds an acknowledged order. */
+    void checkHeld(Order order) {
         if (!directories) {
-            cluster.nodes.stream().filter(Node::alive).forEach(node -> node.process().lanes.forEach(
-                    lane -> see(lane.machine.slots(), node, true)));
+            fleet.nodes.stream().filter(Node::alive).forEach(node -> node.process().replicas.forEach(
+                    replica -> observe(replica.machine.slots(), node, true)));
         }
-        Set<String> held = holders.getOrDefault(order.id(), Set.of());
-        if (cluster.configured.stream().filter(held::contains).count() < cluster.majority()) {
-            throw new Violation(Rule.KEPT, order + " is acknowledged and held by " + held + " only");
+        Set<String> holding = holders.getOrDefault(order.id(), Set.of());
+        if (fleet.configured.stream().filter(holding::contains).count() < fleet.majority()) {
+            throw new Violation(Rule.KEPT, order + " is acknowledged, but held by " + holding + " only");
         }
     }
 
-    /** A shard has answered: whoever called this process, or an observer's order that was handed on to it. */
-    void carried(Node.Lane lane, CopyAction action) {
-        if (action instanceof CopyAction.Acknowledged news) {
-            acknowledged(lane.owner, news.id(), news.order());
-        } else if (action instanceof CopyAction.Refused news) {
-            refused(lane.owner, news.id(), news.why());
+    /** Records a shard's answer to an order, which an operator has given to this process or an observer has forwarded to it. */
+    void carriedOut(Node.ShardReplica replica, CopyAction action) {
+        if (action instanceof CopyAction.Acknowledged reported) {
+            acknowledged(replica.owner, reported.id(), reported.order());
+        } else if (action instanceof CopyAction.Refused reported) {
+            refused(replica.owner, reported.id(), reported.why());
         }
     }
 
     void acknowledged(Node.Process process, String id, Order order) {
-        cluster.time.note("%s acknowledged at %s", order, process.node().name);
+        fleet.time.log("%s acknowledged at %s", order, process.node().name);
         Call call = calls.get(id);
         call.confirmed |= call.open.removeFirstOccurrence(process);
-        call.acknowledgedUs = call.acknowledgedUs < 0 ? cluster.time.nowUs() : call.acknowledgedUs;
-        decided(order);
+        call.acknowledgedUs = call.acknowledgedUs < 0 ? fleet.time.nowUs() : call.acknowledgedUs;
+        checkDecided(order);
     }
 
-    /** Only what a caller is told counts: an observer may try another voter. */
+    /** Records a refusal. Only the answer that the caller gets counts, because an observer may try another voter. */
     void refused(Node.Process process, String id, FleetException why) {
-        cluster.time.note("%s refused at %s: %s", id, process.node().name, why.getMessage());
+        fleet.time.log("%s refused at %s: %s", id, process.node().name, why.getMessage());
         Call call = calls.get(id);
         if (!call.open.removeFirstOccurrence(process)) {
             return;
         }
-        call.last = why.getMessage();
+        call.lastAnswer = why.getMessage();
         call.uncertain |= why instanceof FleetException.Uncertain
                 || why instanceof FleetException.FromVoter && why.getMessage().contains(" says Uncertain: ");
-        if (call.refused() && decided.containsKey(call.id)) {
-            decided.get(call.id).forEach(this::decided);
+        if (call.isRefused() && decided.containsKey(call.id)) {
+            decided.get(call.id).forEach(this::checkDecided);
         }
     }
 
-    // What members show.
+    // The state of members.
 
+    /** Checks the state that a process shows after a tick. */
     void ticked(Node.Process process) {
         if (process.observer != null) {
             observers.ticked(process.observer);
         }
-        for (Node.Lane lane : process.lanes) {
-            if (lane.view.samples++ % SAMPLE_TICKS == 0) {
-                facts(lane);
-                slots(lane);
+        for (Node.ShardReplica replica : process.replicas) {
+            if (replica.view.ticks++ % SAMPLE_INTERVAL_TICKS == 0) {
+                checkEntries(replica);
+                checkSlots(replica);
             }
         }
     }
 
-    private void facts(Node.Lane lane) {
-        for (Fact fact : lane.view.fresh.values()) {
-            if (trueAgeUs(lane, fact) > Cluster.COPY.bound(fact.key().topic()) + HOP_US) {
-                throw new Violation(Rule.AGE, lane.owner.node().name + " acts on " + fact + " of " + trueAgeUs(lane, fact) + " us ago");
+    private void checkEntries(Node.ShardReplica replica) {
+        for (Fact entry : replica.view.freshEntries.values()) {
+            if (trueAgeUs(replica, entry) > SimulatedFleet.COPY.bound(entry.key().topic()) + MAX_HOP_WAIT_US) {
+                throw new Violation(Rule.AGE, replica.owner.node().name + " acts on " + entry + ", which is at least "
+                        + trueAgeUs(replica, entry) + " us old");
             }
         }
-        for (String topic : Cluster.FACT_TOPICS) {
-            for (Fact fact : lane.machine.facts(topic, lane.owner.node().clockUs())) {
-                if (trueAgeUs(lane, fact) > fact.ageUs()) {
-                    throw new Violation(Rule.AGE, lane.owner.node().name + " tells " + fact + ", and it is " + trueAgeUs(lane, fact)
-                            + " us old");
+        for (String topic : SimulatedFleet.ENTRY_TOPICS) {
+            for (Fact entry : replica.machine.facts(topic, replica.owner.node().clockUs())) {
+                if (trueAgeUs(replica, entry) > entry.ageUs()) {
+                    throw new Violation(Rule.AGE, replica.owner.node().name + " reports " + entry + ", which is at least "
+                            + trueAgeUs(replica, entry) + " us old");
                 }
             }
         }
     }
 
-    /** Returns how old a fact is at the least, as clocks may count it; the network's part, which they can only guess, is taken off. */
-    private long trueAgeUs(Node.Lane lane, Fact fact) {
-        long nowUs = cluster.time.nowUs();
-        return (long) ((nowUs - toldUs.getOrDefault(fact.payload(), nowUs) - lane.view.waysUs.getOrDefault(fact.payload(), 0L)) * RATE);
+    /** Returns the minimum age of an entry by any clock, without its time in transit, which members can only estimate. */
+    private long trueAgeUs(Node.ShardReplica replica, Fact entry) {
+        long nowUs = fleet.time.nowUs();
+        return (long) ((nowUs - writtenAtUs.getOrDefault(entry.payload(), nowUs)
+                - replica.view.transitUs.getOrDefault(entry.payload(), 0L)) * MIN_CLOCK_RATE);
     }
 
-    private void slots(Node.Lane lane) {
-        View view = lane.view;
-        String name = lane.owner.node().name;
-        Collection<Slot> slots = lane.machine.slots();
-        Map<Order.Key, Acting> acting = lane.machine.acting();
-        see(slots, lane.owner.node(), !directories);
+    private void checkSlots(Node.ShardReplica replica) {
+        View view = replica.view;
+        String name = replica.owner.node().name;
+        Collection<Slot> slots = replica.machine.slots();
+        Map<Order.Key, Acting> effectiveOrders = replica.machine.acting();
+        observe(slots, replica.owner.node(), !directories);
         Map<Order.Key, Slot> byKey = new HashMap<>();
         for (Slot slot : slots) {
             byKey.put(slot.key(), slot);
             Set<String> heads = new HashSet<>();
             slot.heads().forEach(head -> heads.add(head.id()));
-            Set<String> before = view.heads.put(slot.key(), heads);
-            if (before != null) {
-                before.stream().filter(head -> !heads.contains(head)).forEach(view.over::add);
+            Set<String> previous = view.heads.put(slot.key(), heads);
+            if (previous != null) {
+                previous.stream().filter(head -> !heads.contains(head)).forEach(view.replaced::add);
             }
-            heads.stream().filter(view.over::contains).forEach(head -> {
-                throw new Violation(Rule.OVER, head + " was over at " + name + " and is back");
+            heads.stream().filter(view.replaced::contains).forEach(head -> {
+                throw new Violation(Rule.OVER, head + " was replaced at " + name + " and is in force again");
             });
-            if (view.level) {
-                acted(name, slot.heads(), acting.get(slot.key()), view.stands.get(slot.key()));
+            if (view.caughtUp) {
+                checkEffectiveOrder(name, slot.heads(), effectiveOrders.get(slot.key()), view.effectiveOrders.get(slot.key()));
             }
         }
-        if (view.level && (directories || lastKillUs < 0)) {
-            calls.values().stream().filter(call -> call.acknowledgedUs >= 0 && call.acknowledgedUs < view.lostUs)
-                    .filter(call -> cluster.shardOf(call.key.topic(), call.key.subject()) == lane.shard)
-                    .forEach(call -> kept(name, call, byKey.get(call.key)));
+        if (view.caughtUp && (directories || lastKillUs < 0)) {
+            calls.values().stream().filter(call -> call.acknowledgedUs >= 0 && call.acknowledgedUs < view.lastBehindUs)
+                    .filter(call -> fleet.shardOf(call.key.topic(), call.key.subject()) == replica.shard)
+                    .forEach(call -> checkKept(name, call, byKey.get(call.key)));
         }
     }
 
-    /** What is acted on and was told has to follow from the heads. */
-    static void acted(String name, List<Order> heads, Acting acting, Acting stands) {
+    /** Checks that the order in effect follows from the heads of its slot, and equals the order that the member has reported. */
+    static void checkEffectiveOrder(String name, List<Order> heads, Acting order, Acting reported) {
         if (heads.isEmpty()) {
             return;
         }
@@ -424,25 +446,25 @@
                     ? heads.stream().map(Order::payload).filter(Objects::nonNull).findFirst().orElse(null)
                     : heads.stream().min(Comparator.comparing(Order::id)).orElseThrow().before();
         }
-        boolean same = acting != null && acting.chosen().id().equals(chosen.id()) && acting.rivals().size() == heads.size() - 1
+        boolean correct = order != null && order.chosen().id().equals(chosen.id()) && order.rivals().size() == heads.size() - 1
                 && (heads.size() > 1 && chosen.key().topic().equals("exclusion")
-                        ? (payload == null) == (acting.payload() == null) : Objects.equals(payload, acting.payload()));
-        if (!same || !acting.equals(stands)) {
-            throw new Violation(Rule.ACTING, name + " acts on " + acting + " and told " + stands + ", where there is " + heads);
+                        ? (payload == null) == (order.payload() == null) : Objects.equals(payload, order.payload()));
+        if (!correct || !order.equals(reported)) {
+            throw new Violation(Rule.ACTING, name + " acts on " + order + " and has reported " + reported + ", but in force are " + heads);
         }
     }
 
-    private void kept(String name, Call call, Slot slot) {
+    private void checkKept(String name, Call call, Slot slot) {
         Set<String> heads = new HashSet<>();
         if (slot != null) {
             slot.heads().forEach(head -> heads.add(head.id()));
         }
         if (successors(call.id).stream().noneMatch(heads::contains)) {
-            throw new Violation(Rule.KEPT, call.id + ", acknowledged, neither stands at " + name + " nor was replaced: " + slot);
+            throw new Violation(Rule.KEPT, call.id + " was acknowledged, but is neither in force nor replaced at " + name + ": " + slot);
         }
     }
 
-    /** Returns an order's id and those of all that have replaced it, one after the other. */
+    /** Returns the id of an order and the ids of all orders that have replaced it, directly or indirectly. */
     Set<String> successors(String first) {
         Deque<String> open = new ArrayDeque<>(List.of(first));
         Set<String> seen = new HashSet<>();
@@ -455,100 +477,101 @@
         return seen;
     }
 
-    /** Returns whether one of these orders takes back what stood. */
-    boolean removal(Collection<String> ids) {
+    /** Returns whether one of these orders revokes the order before it. */
+    boolean includesRemoval(Collection<String> ids) {
         return ids.stream().flatMap(id -> decided.getOrDefault(id, Set.of()).stream()).anyMatch(order -> order.payload() == null);
     }
 
-    // The end.
+    // The end of a run.
 
-    void calm() {
-        lastTold.keySet().removeIf(key -> !alive(key.writer()));
+    /** Records the end of all faults. */
+    void faultsEnded() {
+        lastWritten.keySet().removeIf(key -> !alive(key.writer()));
     }
 
     private boolean alive(String name) {
-        return cluster.nodes.stream().anyMatch(node -> node.name.equals(name) && node.alive());
+        return fleet.nodes.stream().anyMatch(node -> node.name.equals(name) && node.alive());
     }
 
-    /** Some time after the last fault. */
-    void settled() {
-        List<Node> live = cluster.nodes.stream().filter(Node::alive).toList();
-        for (Node node : live) {
+    /** Checks all living members some time after the last fault. */
+    void checkSettled() {
+        List<Node> living = fleet.nodes.stream().filter(Node::alive).toList();
+        for (Node node : living) {
             Map<String, Member> known = new HashMap<>();
             node.process().membership.members().forEach(member -> known.put(member.life().name(), member));
-            for (Node other : cluster.nodes) {
+            for (Node other : fleet.nodes) {
                 Member member = known.get(other.name);
                 if ((member != null && member.standing() == Standing.ALIVE) != other.alive()) {
-                    throw new Violation(Rule.MEMBERS, node.name + " holds " + member + ", and it " + (other.alive() ? "lives" : "is dead"));
+                    throw new Violation(Rule.MEMBERS, node.name + " sees " + member + ", which is " + (other.alive() ? "alive" : "dead"));
                 }
             }
-            for (Node.Lane lane : node.process().lanes) {
-                if (!lane.machine.level()) {
-                    throw new Violation(Rule.SERVES, node.name + " is not level though all is well");
+            for (Node.ShardReplica replica : node.process().replicas) {
+                if (!replica.machine.level()) {
+                    throw new Violation(Rule.SERVES, node.name + " is not caught up though no fault is left");
                 }
-                met(node, lane, live.get(0).process().lanes.get(lane.shard));
+                checkConverged(node, replica, living.get(0).process().replicas.get(replica.shard));
             }
         }
     }
 
-    private void met(Node node, Node.Lane lane, Node.Lane first) {
-        Map<Order.Key, Slot> slots = bySlot(lane);
-        if (!slots.equals(bySlot(first))) {
-            throw new Violation(Rule.MEET, node.name + " has " + slots + " and another one " + bySlot(first));
+    private void checkConverged(Node node, Node.ShardReplica replica, Node.ShardReplica first) {
+        Map<Order.Key, Slot> slots = slotsByKey(replica);
+        if (!slots.equals(slotsByKey(first))) {
+            throw new Violation(Rule.MEET, node.name + " has " + slots + ", but another member has " + slotsByKey(first));
         }
-        Map<Fact.Key, String> facts = byFact(lane);
-        if (!facts.equals(byFact(first))) {
-            throw new Violation(Rule.MEET, node.name + " has " + facts + " and another one " + byFact(first));
+        Map<Fact.Key, String> entries = entriesByKey(replica);
+        if (!entries.equals(entriesByKey(first))) {
+            throw new Violation(Rule.MEET, node.name + " has " + entries + ", but another member has " + entriesByKey(first));
         }
-        lastTold.forEach((key, told) -> {
-            if (cluster.shardOf(key.topic(), key.subject()) == lane.shard && told.payload != null && !key.writer().equals(node.name)
-                    && !facts.getOrDefault(key, "").endsWith(told.payload) && !cluster.lies(key.writer())) {
-                throw new Violation(Rule.MEET, node.name + " has not heard " + key + " " + told + " but " + facts.get(key));
+        lastWritten.forEach((key, written) -> {
+            if (fleet.shardOf(key.topic(), key.subject()) == replica.shard && written.payload != null && !key.writer().equals(node.name)
+                    && !entries.getOrDefault(key, "").endsWith(written.payload) && !fleet.isFaultyWriter(key.writer())) {
+                throw new Violation(Rule.MEET, node.name + " does not have " + key + " " + written + " but " + entries.get(key));
             }
         });
-        boolean remembered = majorityRemembers();
+        boolean majorityRemembers = majorityRemembers();
         for (Call call : calls.values()) {
-            if (call.acknowledgedUs >= 0 && cluster.shardOf(call.key.topic(), call.key.subject()) == lane.shard && remembered) {
-                kept(node.name, call, slots.get(call.key));
-                decided.get(call.id).stream().flatMap(order -> order.replaces().stream()).forEach(over -> {
-                    if (slots.get(call.key).heads().stream().anyMatch(head -> head.id().equals(over))) {
-                        throw new Violation(Rule.OVER, over + " stands at " + node.name + " though " + call.id + " replaced it");
+            if (call.acknowledgedUs >= 0 && fleet.shardOf(call.key.topic(), call.key.subject()) == replica.shard && majorityRemembers) {
+                checkKept(node.name, call, slots.get(call.key));
+                decided.get(call.id).stream().flatMap(order -> order.replaces().stream()).forEach(replaced -> {
+                    if (slots.get(call.key).heads().stream().anyMatch(head -> head.id().equals(replaced))) {
+                        throw new Violation(Rule.OVER, replaced + " is in force at " + node.name + " though " + call.id + " replaced it");
                     }
                 });
             }
         }
     }
 
-    /** Returns whether a majority of the voters has lived all the time, or forgets nothing when it dies. */
+    /** Returns whether a majority of the voters has kept its orders: none of them was ever killed, or all have directories. */
     boolean majorityRemembers() {
-        return directories || cluster.nodes.stream().filter(each -> each.alive()
-                && cluster.configured.contains(each.name) && diedUs.getOrDefault(each.name, -1L) < 0).count() >= cluster.majority();
+        return directories || fleet.nodes.stream().filter(each -> each.alive()
+                && fleet.configured.contains(each.name) && lastKilledUs.getOrDefault(each.name, -1L) < 0).count() >= fleet.majority();
     }
 
-    private static Map<Order.Key, Slot> bySlot(Node.Lane lane) {
+    private static Map<Order.Key, Slot> slotsByKey(Node.ShardReplica replica) {
         Map<Order.Key, Slot> slots = new HashMap<>();
-        lane.machine.slots().forEach(slot -> slots.put(slot.key(), slot));
+        replica.machine.slots().forEach(slot -> slots.put(slot.key(), slot));
         return slots;
     }
 
-    /** Returns the facts of writers that live, without their ages. */
-    private Map<Fact.Key, String> byFact(Node.Lane lane) {
-        Map<Fact.Key, String> facts = new TreeMap<>(Comparator.comparing(Fact.Key::toString));
-        for (String topic : Cluster.FACT_TOPICS) {
-            for (Fact fact : lane.machine.facts(topic, lane.owner.node().clockUs())) {
-                if (alive(fact.key().writer())) {
-                    facts.put(fact.key(), fact.incarnation() + "." + fact.version() + "=" + fact.payload());
+    /** Returns the entries of living writers, without their ages. */
+    private Map<Fact.Key, String> entriesByKey(Node.ShardReplica replica) {
+        Map<Fact.Key, String> entries = new TreeMap<>(Comparator.comparing(Fact.Key::toString));
+        for (String topic : SimulatedFleet.ENTRY_TOPICS) {
+            for (Fact entry : replica.machine.facts(topic, replica.owner.node().clockUs())) {
+                if (alive(entry.key().writer())) {
+                    entries.put(entry.key(), entry.incarnation() + "." + entry.version() + "=" + entry.payload());
                 }
             }
         }
-        return facts;
+        return entries;
     }
 
-    /** Some time after one more order was given for each key. */
-    void probed() {
+    /** Checks that the orders given after the last fault are acknowledged. */
+    void checkProbes() {
         for (Call call : probes) {
             if (call.acknowledgedUs < 0) {
-                throw new Violation(Rule.SERVES, call.id + " is not acknowledged though all is well: " + call.last);
+                throw new Violation(Rule.SERVES, call.id + " is not acknowledged though no fault is left: " + call.lastAnswer);
             }
         }
     }
--- /dev/null
+++ b/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
@@ -0,0 +1,213 @@
+package walkpost.fleet.sim;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Supplier;
+import java.util.stream.Stream;
+import walkpost.fleet.copy.Acting;
+import walkpost.fleet.copy.CopyAction;
+import walkpost.fleet.copy.CopyEvent;
+import walkpost.fleet.copy.CopyMessage;
+import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.Slot;
+import walkpost.fleet.copy.SlotRule;
+import walkpost.fleet.member.MemberEvent;
+import walkpost.fleet.member.News;
+import walkpost.fleet.member.Standing;
+import walkpost.fleet.observe.FeedAction;
+import walkpost.fleet.observe.ObserveMessage;
+import walkpost.fleet.observe.ObserverAction;
+import walkpost.fleet.observe.ObserverEvent;
+import walkpost.fleet.sim.Violation.Rule;
+
+/** Faults that an implementation might have, with the rules that the oracle has to find broken. */
+enum PlantedFault {
+    PERSIST_DROPPED(() -> new FaultInjection() {
+        @Override
+        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
+            return action instanceof CopyAction.Persist ? List.of() : List.of(action);
+        }
+    }, Rule.KEPT),
+
+    DECIDES_WITHOUT_MAJORITY(() -> new FaultInjection() {
+        @Override
+        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
+            if (action instanceof CopyAction.Send send && send.message() instanceof CopyMessage.Propose proposal) {
+                node.deliverForged(shard, send.to(), new CopyMessage.Promised(proposal.round(), proposal.order().id()));
+            }
+            return List.of(action);
+        }
+    }, Rule.DECIDED),
+
+    PROMISES_TWICE(() -> new FaultInjection() {
+        @Override
+        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
+            return List.of(action instanceof CopyAction.Send send && send.message() instanceof CopyMessage.Declined declined
+                    && declined.why() == CopyMessage.Reason.BUSY
+                    ? new CopyAction.Send(send.to(), new CopyMessage.Promised(declined.round(), declined.id())) : action);
+        }
+    }, Rule.PROMISE),
+
+    JOIN_DROPS_RIVALS(() -> new FaultInjection() {
+        @Override
+        List<CopyEvent> replaceEvent(Node node, int shard, CopyEvent event) {
+            return List.of(event instanceof CopyEvent.Received received
+                    ? new CopyEvent.Received(received.from(), RecordRewriter.each(received.message(), Slot.class,
+                            slot -> new Slot(slot.key(), slot.heads().stream().limit(1).toList(), slot.replaced(), slot.floor()))) : event);
+        }
+    }, Rule.MEET, Rule.SERVES, Rule.KEPT),
+
+    AGES_RESET_WHEN_SENT(() -> new FaultInjection() {
+        @Override
+        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
+            return List.of(action instanceof CopyAction.Send send
+                    ? new CopyAction.Send(send.to(), RecordRewriter.each(send.message(), Fact.class,
+                            entry -> new Fact(entry.key(), entry.incarnation(), entry.version(), entry.payload(), 0))) : action);
+        }
+    }, Rule.AGE),
+
+    CAUGHT_UP_WITHOUT_COMPARISON(() -> new FaultInjection() {
+        @Override
+        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
+            if (action instanceof CopyAction.Send send && send.message() instanceof CopyMessage.Compare request) {
+                node.deliverForged(shard, send.to(), new CopyMessage.Nodes(request.round(), request.awayUs(), new long[0], new long[0]));
+            }
+            return List.of(action);
+        }
+    }, Rule.LEVEL),
+
+    REMOVAL_FORGOTTEN(() -> new FaultInjection() {
+        @Override
+        List<Slot> restored(List<Slot> slots) {
+            return slots.stream().filter(slot -> slot.heads().stream().map(Order::payload).anyMatch(payload -> payload != null)).toList();
+        }
+    }, Rule.KEPT, Rule.OVER),
+
+    CLOCK_STOPS_DURING_SUSPENSION(() -> new FaultInjection() {
+        @Override
+        long clockUs(Node node, long clockUs) {
+            return clockUs - node.suspendedUs();
+        }
+    }, Rule.LEVEL, Rule.AGE),
+
+    TRUSTS_LOWER_INCARNATION(() -> new FaultInjection() {
+        @Override
+        MemberEvent replaceEvent(Node node, MemberEvent event) {
+            return event instanceof MemberEvent.Received received
+                    ? new MemberEvent.Received(received.from(),
+                            RecordRewriter.each(received.message(), News.class, PlantedFault::raiseIncarnation)) : event;
+        }
+    }, Rule.MEMBERS),
+
+    OBSERVER_COUNTED_IN_A_MAJORITY(Layout.FEW_VOTE, () -> new FaultInjection() {
+        @Override
+        List<CopyEvent> replaceEvent(Node node, int shard, CopyEvent event) {
+            return List.of(event instanceof CopyEvent.Received received && isObserver(received.from())
+                    ? new CopyEvent.Received(node.index == 0 ? "n1" : "n0", received.message()) : event);
+        }
+
+        private boolean isObserver(String name) {
+            return !List.of("n0", "n1", "n2").contains(name);
+        }
+    }, Rule.DECIDED, Rule.KEPT),
+
+    OUTDATED_VOTER_TAKEN_FOR_CAUGHT_UP(Layout.FEW_VOTE, () -> new FaultInjection() {
+        @Override
+        List<ObserverEvent> replaceEvent(Node node, ObserverEvent event) {
+            return List.of(event instanceof ObserverEvent.Received received && received.message() instanceof ObserveMessage.Echo echo
+                    ? new ObserverEvent.Received(received.from(),
+                            new ObserveMessage.Echo(echo.seq(), true, 0, echo.nodes(), echo.lives())) : event);
+        }
+    }, Rule.LEVEL, Rule.KEPT),
+
+    OLDER_SLOT_ADOPTED(Layout.FEW_VOTE, () -> new FaultInjection() {
+        private final Map<Node, List<Slot>> lastPushed = new HashMap<>();
+
+        @Override
+        List<ObserverEvent> replaceEvent(Node node, ObserverEvent event) {
+            if (event instanceof ObserverEvent.Received received && received.message() instanceof ObserveMessage.Push push) {
+                lastPushed.put(node, push.slots());
+            }
+            return List.of(event);
+        }
+
+        @Override
+        List<ObserverAction> replaceAction(Node node, ObserverAction action) {
+            List<ObserverAction> all = new ArrayList<>(List.of(action));
+            if (action instanceof ObserverAction.Send send && send.message() instanceof ObserveMessage.Taken) {
+                lastPushed.get(node).forEach(slot -> all.add(new ObserverAction.Stands(slot.key(), SlotRule.acting(slot))));
+            }
+            return all;
+        }
+    }, Rule.OVER, Rule.KEPT),
+
+    PUSH_LOST_AND_NEVER_COMPARED(Layout.FEW_VOTE, () -> new FaultInjection() {
+        private final Set<String> equalObservers = new HashSet<>();
+        private int pushCount;
+
+        @Override
+        List<FeedAction> replaceAction(Node node, FeedAction action) {
+            if (action instanceof FeedAction.Send send && send.message() instanceof ObserveMessage.Echo echo) {
+                if (echo.nodes().length == 0) {
+                    equalObservers.add(send.to());
+                }
+                return List.of(equalObservers.contains(send.to()) ? new FeedAction.Send(send.to(),
+                        new ObserveMessage.Echo(echo.seq(), echo.level(), echo.awayUs(), new long[0], echo.lives())) : action);
+            }
+            boolean lost = action instanceof FeedAction.Send send && send.message() instanceof ObserveMessage.Push && pushCount++ % 3 > 0;
+            return lost ? List.of() : List.of(action);
+        }
+    }, Rule.MEET, Rule.KEPT),
+
+    CUT_OFF_OBSERVER_FORGETS(Layout.FEW_VOTE, () -> new FaultInjection() {
+        private final Map<Node, Set<Order.Key>> reportedKeys = new HashMap<>();
+
+        @Override
+        List<ObserverAction> replaceAction(Node node, ObserverAction action) {
+            List<ObserverAction> all = new ArrayList<>(List.of(action));
+            if (action instanceof ObserverAction.Stands changed) {
+                reportedKeys.computeIfAbsent(node, key -> new LinkedHashSet<>()).add(changed.key());
+            } else if (action instanceof ObserverAction.Level reported && !reported.level()) {
+                reportedKeys.getOrDefault(node, Set.of()).forEach(
+                        key -> all.add(new ObserverAction.Stands(key, new Acting(null, null, List.of()))));
+            }
+            return all;
+        }
+    }, Rule.KEPT);
+
+    final Set<Rule> rules;
+    private final Layout layout;
+    private final Supplier<FaultInjection> faultInjection;
+
+    PlantedFault(Supplier<FaultInjection> faultInjection, Rule... rules) {
+        this(Layout.ALL_COPY, faultInjection, rules);
+    }
+
+    PlantedFault(Layout layout, Supplier<FaultInjection> faultInjection, Rule... rules) {
+        this.layout = layout;
+        this.faultInjection = faultInjection;
+        this.rules = Set.of(rules);
+    }
+
+    /** Returns the faults that are planted into a layout. */
+    static Stream<PlantedFault> in(Layout layout) {
+        return Arrays.stream(values()).filter(planted -> planted.layout == layout);
+    }
+
+    FaultInjection create() {
+        return faultInjection.get();
+    }
+
+    /** Raises the incarnation in news of a suspicion or death, so that news of a former life counts for the present one. */
+    private static News raiseIncarnation(News news) {
+        return news.standing() == Standing.ALIVE ? news
+                : new News(news.name(), news.incarnation() + 1, news.host(), news.port(), news.standing(), news.by());
+    }
+}
--- a/fleet/src/test/java/walkpost/fleet/sim/Rewrite.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/RecordRewriter.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** Changes values of one type wherever they stand in a message, so that lies and planted faults need not know each message. */
-final class Rewrite {
-    private Rewrite() { }
+/** Replaces all values of one type in a message, so that faulty writers and planted faults need not know the type of each message. */
+final class RecordRewriter {
+    private RecordRewriter() { }
 
-    /** Returns a copy of the value with each {@code type} in it, at any depth, given to {@code change}. */
+    /** Returns a copy of a value in which {@code change} replaces each value of type {@code type}, at any depth. */
     @SuppressWarnings("unchecked")
     static <T, V> T each(T value, Class<V> type, UnaryOperator<V> change) {
         return (T) rewritten(value, type, change);
@@ -55,7 +55,7 @@
             constructor.setAccessible(true);
             return constructor.newInstance(parts);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("can't rebuild " + record, e);
+            throw new IllegalStateException("cannot rebuild the record " + record, e);
         }
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulationTest.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulationTest.java
@@ -9,40 +9,40 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The fleet's machines, a whole cluster of members that all hold copies, under faults drawn from a seed; see {@link Play}. */
+/** Simulates a fleet whose members all hold replicas, under random faults; see {@link SeedRunner}. */
 class SimulationTest {
     private static final int SEEDS = 2_000;
-    private static final int SEEDS_FOR_A_PLANT = 300;
+    private static final int SEEDS_PER_PLANTED_FAULT = 300;
 
-    private final Play play = new Play(Layout.ALL_COPY, getClass());
+    private final SeedRunner runner = new SeedRunner(Layout.ALL_COPY, getClass());
 
     @Test
-    void fleetKeepsItsPromisesUnderEverySeed() {
-        play.all(SEEDS);
+    void fleetKeepsAllRulesUnderEverySeed() {
+        runner.runAll(SEEDS);
     }
 
-    /** Seeds that failed once and lie above those played each time. */
+    /** Guards against the return of faults that these seeds once found; they lie above the seeds that each build runs. */
     @ParameterizedTest
     @ValueSource(longs = 13_024)
-    void seedThatFailedOnceStaysMended(long seed) {
-        assertThat(play.failure(seed, new Plant())).isEmpty();
+    void seedThatFailedBeforeKeepsAllRules(long seed) {
+        assertThat(runner.failure(seed, new FaultInjection())).isEmpty();
     }
 
     @Test
-    void seedIsPlayedTheSameWayTwice() {
+    void twoRunsOfASeedAreEqual() {
         for (long seed = 0; seed < 5; seed++) {
-            assertThat(play.hash(seed)).isEqualTo(play.hash(seed));
+            assertThat(runner.hash(seed)).isEqualTo(runner.hash(seed));
         }
     }
 
     @ParameterizedTest
     @MethodSource
-    void oracleFindsPlantedFault(Planted planted) {
-        assumeFalse(Play.one(), "one seed is played as it is");
-        play.finds(planted, SEEDS_FOR_A_PLANT);
+    void oracleFindsPlantedFault(PlantedFault planted) {
+        assumeFalse(SeedRunner.runsSingleSeed(), "a single selected seed is run without planted faults");
+        runner.assertFound(planted, SEEDS_PER_PLANTED_FAULT);
     }
 
-    static Stream<Planted> oracleFindsPlantedFault() {
-        return Planted.in(Layout.ALL_COPY);
+    static Stream<PlantedFault> oracleFindsPlantedFault() {
+        return PlantedFault.in(Layout.ALL_COPY);
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/sim/Violation.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Violation.java
@@ -1,41 +1,41 @@
 package walkpost.fleet.sim;
 
-/** Something that must not be has been seen. */
+/** Reports that a simulated fleet has broken a rule. */
 final class Violation extends AssertionError {
     private static final long serialVersionUID = 1L;
 
-    /** What must hold. */
+    /** The rules that every run must keep. */
     enum Rule {
-        /** Copies that hear each other become equal. */
+        /** Replicas that can reach each other converge. */
         MEET,
-        /** An acknowledged order is held by a majority, and stands or has been replaced by a decided one. */
+        /** An acknowledged order is held by a majority, and is in force or has been replaced by a decided order. */
         KEPT,
-        /** Only an order that a majority has promised is ever in force. */
+        /** An order takes effect only if a majority has promised it. */
         DECIDED,
-        /** What a majority holds is not decided once more, under the same id. */
+        /** An order that a majority holds is not decided again under the same id. */
         ONCE,
-        /** A refused order is nowhere in force. */
+        /** A refused order is in force at no member. */
         REFUSED,
-        /** No fact is acted on beyond its bound, or told younger than it is. */
+        /** No member acts on a stale entry, or reports an entry as younger than it is. */
         AGE,
-        /** Only who has compared itself with a majority is level, and only who is level acts on orders, promises and confirms. */
+        /** A member is caught up only after a comparison with a majority; only then does it act on orders, promise and confirm. */
         LEVEL,
-        /** A member promises a version to one order at a time. */
+        /** An acceptor promises a version to one order at a time. */
         PROMISE,
-        /** Equal heads are acted on equally, by the rule for rivals. */
+        /** Equal heads give the same order in effect, by the rule for rivals. */
         ACTING,
-        /** What is over does not come back. */
+        /** A replaced order does not come back. */
         OVER,
-        /** Who lives is known to live, and who is dead is not. */
+        /** Members know which members are alive and which are dead. */
         MEMBERS,
-        /** A mended fleet takes orders. */
+        /** A fleet without faults accepts orders. */
         SERVES
     }
 
     private final Rule rule;
 
-    Violation(Rule rule, String what) {
-        super(rule + ": " + what);
+    Violation(Rule rule, String description) {
+        super(rule + ": " + description);
         this.rule = rule;
     }
 
