--- a/app/src/main/java/walkpost/app/Hollow.java
+++ b/app/src/main/java/walkpost/app/Hollow.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Member;
@@ -98,7 +98,7 @@
         for (int member = 0; member < count; member++) {
             Fleet of = members.get(member);
             // Not all at once: proxies do not wait for each other either.
-            clock.scheduleAtFixedRate(() -> of.tell(TOPIC, of.name(), String.format(Locale.ROOT, CONDITION, told++ % 1_000)),
+            clock.scheduleAtFixedRate(() -> of.writeEntry(TOPIC, of.name(), String.format(Locale.ROOT, CONDITION, told++ % 1_000)),
                     TELL_MS * member / count, TELL_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -147,7 +147,7 @@
         private final Map<Order.Key, String> standing = new HashMap<>();
 
         @Override
-        public void stands(Order.Key key, Acting acting) {
+        public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
             if (acting.chosen() != null && !acting.chosen().id().equals(standing.put(key, acting.chosen().id()))) {
                 times.inForce(acting.chosen().id(), System.currentTimeMillis());
             }
@@ -157,12 +157,12 @@
         public void member(Member member) { }
 
         @Override
-        public void fact(Fact fact) { }
+        public void entryReceived(Entry fact) { }
 
         @Override
-        public void stale(Fact.Key key) { }
+        public void stale(Entry.Key key) { }
 
         @Override
-        public void level(boolean level) { }
+        public void caughtUpChanged(boolean level) { }
     }
 }
--- a/app/src/main/java/walkpost/app/HollowMeter.java
+++ b/app/src/main/java/walkpost/app/HollowMeter.java
@@ -90,7 +90,7 @@
     }
 
     private void state(ObjectNode line) {
-        line.put("members", members.size()).put("level", members.stream().filter(FleetHandle::level).count())
+        line.put("members", members.size()).put("level", members.stream().filter(FleetHandle::isCaughtUp).count())
                 .put("heap_mb", ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() >> 20)
                 .put("descriptors", Descriptors.openNow());
     }
--- a/app/src/main/java/walkpost/app/Main.java
+++ b/app/src/main/java/walkpost/app/Main.java
@@ -42,7 +42,7 @@
     static final class RehearseCommand implements Runnable {
         @Override
         public void run() {
-            Serve.rehearse();
+            Serve.trainClassDataArchive();
         }
     }
 
@@ -63,7 +63,7 @@
     public static void main(String[] args) {
         switch (args.length == 1 ? args[0] : "") {
             case "serve" -> Serve.main(args);
-            case "rehearse" -> Serve.rehearse();
+            case "rehearse" -> Serve.trainClassDataArchive();
             case "drill" -> drill();
             default -> {
                 int status = run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
--- a/fleet/src/main/java/walkpost/fleet/FleetException.java
+++ b/fleet/src/main/java/walkpost/fleet/FleetException.java
@@ -18,7 +18,7 @@
     }
 
     /** Returns the description of the problem, without the remedy. */
-    public final String what() {
+    public final String problem() {
         String message = getMessage();
         return message.substring(0, message.length() - remedy.length() - 2);
     }
@@ -102,7 +102,7 @@
         }
 
         /** Returns whether the other order is the same one, given to another member as well. */
-        public boolean itself() {
+        public boolean isSameOrder() {
             return sameOrder;
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/Machine.java
+++ b/fleet/src/main/java/walkpost/fleet/StateMachine.java
@@ -11,7 +11,7 @@
  * @param <E> the type of the events
  * @param <A> the type of the actions
  */
-public interface Machine<E, A> {
+public interface StateMachine<E, A> {
     /**
      * Handles one event and passes the resulting actions to {@code actions}.
      *
--- a/fleet/src/main/java/walkpost/fleet/copy/Promises.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Acceptor.java
@@ -7,50 +7,50 @@
 import walkpost.fleet.member.Life;
 
 /**
- * The acceptor's side of orders (steps 1 and 2 in {@link CopyMessage}): owns the promises, each of which reserves a slot's next version
+ * The acceptor's side of orders (steps 1 and 2 in {@link ShardMessage}): owns the promises, each of which reserves a slot's next version
  * for one order for a limited time. A promise expires by this member's own clock, long after the coordinator's deadline for the round,
  * so that a late proposal or a late answer does no harm.
  */
-final class Promises {
+final class Acceptor {
     private record Promise(Life issuer, long round, String id, long expiresAtUs) { }
 
-    private final CopySettings settings;
-    private final Touch catchUpState;
-    private final OrderBook slotStore;
+    private final ShardSettings settings;
+    private final CatchUpState catchUpState;
+    private final SlotStore slotStore;
     private final Map<Order.Key, Promise> promises = new LinkedHashMap<>();
 
-    Promises(CopySettings settings, Touch catchUpState, OrderBook slotStore) {
+    Acceptor(ShardSettings settings, CatchUpState catchUpState, SlotStore slotStore) {
         this.settings = settings;
         this.catchUpState = catchUpState;
         this.slotStore = slotStore;
     }
 
     /** Returns the answer to a proposal, whose slot the caller has merged into this replica before. */
-    CopyMessage answer(long nowUs, CopyMessage.Propose proposal) {
+    ShardMessage answerProposal(long nowUs, ShardMessage.Propose proposal) {
         Order order = proposal.order();
-        if (!catchUpState.level()) {
-            return declined(proposal, CopyMessage.Reason.NOT_LEVEL, "", null);
+        if (!catchUpState.isCaughtUp()) {
+            return declined(proposal, ShardMessage.DeclineReason.NOT_LEVEL, "", null);
         }
         Slot slot = slotStore.slot(order.key());
-        if (!new TreeSet<>(order.replaces()).equals(new TreeSet<>(SlotRule.ids(slot))) || order.version() != SlotRule.next(slot)) {
-            return declined(proposal, CopyMessage.Reason.OVERTAKEN, SlotRule.words(slot), last(SlotRule.parts(slot, order.id())));
+        if (!new TreeSet<>(order.replaces()).equals(new TreeSet<>(SlotMerge.headIds(slot))) || order.version() != SlotMerge.nextVersion(slot)) {
+            return declined(proposal, ShardMessage.DeclineReason.OVERTAKEN, SlotMerge.describe(slot), last(SlotMerge.split(slot, order.id())));
         }
-        if (order.payload() == null && !SlotRule.removed(slot) && slotStore.full()) {
-            return declined(proposal, CopyMessage.Reason.FULL, "", null);
+        if (order.payload() == null && !SlotMerge.isRemoved(slot) && slotStore.isRemovalMemoryFull()) {
+            return declined(proposal, ShardMessage.DeclineReason.FULL, "", null);
         }
         Promise promise = unexpired(order.key(), nowUs);
         // A later round of the same coordinator shows that it has abandoned its earlier round.
         if (promise != null && !(promise.issuer().equals(order.issuer()) && promise.round() <= proposal.round())) {
-            return declined(proposal, CopyMessage.Reason.BUSY, promise.id(), null);
+            return declined(proposal, ShardMessage.DeclineReason.BUSY, promise.id(), null);
         }
         if (promise == null || promise.round() != proposal.round()) {
             promises.put(order.key(), new Promise(order.issuer(), proposal.round(), order.id(), nowUs + settings.promiseUs()));
         }
-        return new CopyMessage.Promised(proposal.round(), order.id());
+        return new ShardMessage.Promised(proposal.round(), order.id());
     }
 
     /** Releases the promise for an order that is decided. */
-    void decided(Order.Key key, String id) {
+    void releaseDecided(Order.Key key, String id) {
         Promise promise = promises.get(key);
         if (promise != null && promise.id().equals(id)) {
             promises.remove(key);
@@ -58,7 +58,7 @@
     }
 
     /** Releases the promise for a round that its coordinator has abandoned, or for an earlier round of that coordinator. */
-    void forget(Order.Key key, String issuer, long incarnation, long round) {
+    void release(Order.Key key, String issuer, long incarnation, long round) {
         Promise promise = promises.get(key);
         if (promise != null && promise.issuer().equals(new Life(issuer, incarnation)) && promise.round() <= round) {
             promises.remove(key);
@@ -79,7 +79,7 @@
         return parts.get(parts.size() - 1);
     }
 
-    private static CopyMessage declined(CopyMessage.Propose proposal, CopyMessage.Reason reason, String other, Slot slot) {
-        return new CopyMessage.Declined(proposal.round(), proposal.order().id(), reason, other, slot);
+    private static ShardMessage declined(ShardMessage.Propose proposal, ShardMessage.DeclineReason reason, String other, Slot slot) {
+        return new ShardMessage.Declined(proposal.round(), proposal.order().id(), reason, other, slot);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/CatchUp.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/AntiEntropyRequester.java
@@ -13,10 +13,10 @@
 
 /**
  * The requesting side of anti-entropy: owns the comparison rounds under way with other members, and decides which members to ask next.
- * In each period it asks so many members that it has heard from a majority well within {@link CopySettings#silenceUs}, and twice as
+ * In each period it asks so many members that it has heard from a majority well within {@link ShardSettings#silenceUs}, and twice as
  * many while this member has not caught up.
  */
-final class CatchUp {
+final class AntiEntropyRequester {
     /** A round that has begun to fetch is restarted after this time without progress; a round never answered restarts at once. */
     private static final long ROUND_TIMEOUT_US = 3_000_000;
 
@@ -24,7 +24,7 @@
     private static final class Round {
         private final long number;
         private final BitSet partsReceived = new BitSet();
-        private final Set<CopyMessage.SlotStamp> missingSlots = new HashSet<>();
+        private final Set<ShardMessage.SlotDigest> missingSlots = new HashSet<>();
         private boolean allPartsReceived;
         private boolean answered;
         private long progressAtUs;
@@ -39,32 +39,32 @@
         }
     }
 
-    private final CopySettings settings;
-    private final Neighbours peers;
-    private final Touch catchUpState;
-    private final OrderBook slotStore;
-    private final FactBook entryStore;
+    private final ShardSettings settings;
+    private final PeerSet peers;
+    private final CatchUpState catchUpState;
+    private final SlotStore slotStore;
+    private final EntryStore entryStore;
     private final Map<String, Round> rounds = new TreeMap<>();
     /** The number of the latest request to each member: the lower, the longer ago. */
     private final Map<String, Long> lastRequest = new TreeMap<>();
-    private Fetches fetchQueue;
+    private FetchQueue fetchQueue;
     private long roundCount;
     private long requestCount;
     private long nextUs;
 
-    CatchUp(CopySettings settings, Neighbours peers, Touch catchUpState, OrderBook slotStore, FactBook entryStore) {
+    AntiEntropyRequester(ShardSettings settings, PeerSet peers, CatchUpState catchUpState, SlotStore slotStore, EntryStore entryStore) {
         this.settings = settings;
         this.peers = peers;
         this.catchUpState = catchUpState;
         this.slotStore = slotStore;
         this.entryStore = entryStore;
-        this.fetchQueue = new Fetches(settings, 0);
+        this.fetchQueue = new FetchQueue(settings, 0);
     }
 
     /** Discards all rounds and fetches when the shard starts, loses contact with the majority, or has emptied its replica. */
     void reset(long nowUs) {
         rounds.clear();
-        fetchQueue = new Fetches(settings, nowUs);
+        fetchQueue = new FetchQueue(settings, nowUs);
         nextUs = nowUs;
     }
 
@@ -72,18 +72,18 @@
     void tick(long nowUs, Outbox out) {
         if (nowUs >= nextUs) {
             // The jitter keeps members that started together from comparing at the same moments for ever.
-            nextUs = nowUs + settings.compareUs() - peers.draw(Math.max(1, settings.compareUs() / 8));
-            lastRequest.keySet().removeIf(name -> !peers.alive(name));
+            nextUs = nowUs + settings.compareUs() - peers.drawTimeUs(Math.max(1, settings.compareUs() / 8));
+            lastRequest.keySet().removeIf(name -> !peers.isAlive(name));
             // The last one is drawn from all living members, so that entries of members that are not configured are found as well.
-            List<String> drawn = peers.draw(1);
+            List<String> drawn = peers.drawAlive(1);
             membersToAsk().stream().filter(name -> !drawn.contains(name)).forEach(name -> begin(nowUs, name, null, out));
             drawn.forEach(name -> begin(nowUs, name, entryStore.tree().root(), out));
         }
-        fetchQueue.ask(nowUs, out, (digest, sources) -> sources.forEach(rounds::remove));
+        fetchQueue.sendRequests(nowUs, out, (digest, sources) -> sources.forEach(rounds::remove));
     }
 
     /** Receives the node hashes of another member's trees, and asks for the leaves below those that differ. */
-    void nodes(long nowUs, String from, CopyMessage.Nodes nodes, Outbox out) {
+    void receiveNodeHashes(long nowUs, String from, ShardMessage.NodeHashes nodes, Outbox out) {
         Round round = rounds.get(from);
         if (round == null || round.number != nodes.round()) {
             return;
@@ -95,22 +95,22 @@
             finish(from, nowUs);
         }
         if (slotNodes.length + entryNodes.length > 0) {
-            out.send(from, new CopyMessage.Leaves(round.number, slotNodes, leaves(slotStore.tree(), slotNodes), entryNodes,
+            out.send(from, new ShardMessage.LeafHashes(round.number, slotNodes, leaves(slotStore.tree(), slotNodes), entryNodes,
                     leaves(entryStore.tree(), entryNodes)));
         }
     }
 
     /** Receives digests of another member's slots in the leaves that differ, and queues the fetch of those that differ here. */
-    void slotStamps(long nowUs, String from, CopyMessage.SlotStamps digests) {
+    void receiveSlotDigests(long nowUs, String from, ShardMessage.SlotDigests digests) {
         Round round = rounds.get(from);
-        if (round == null || round.number != digests.round() || !Sizes.part(digests.part(), digests.parts())) {
+        if (round == null || round.number != digests.round() || !MessageSizes.isValidPart(digests.part(), digests.parts())) {
             return;
         }
         round.recordProgress(nowUs);
-        for (CopyMessage.SlotStamp digest : digests.stamps()) {
+        for (ShardMessage.SlotDigest digest : digests.stamps()) {
             Long mine = slotStore.hash(digest.key());
             if (mine == null || mine != digest.hash()) {
-                fetchQueue.want(digest, from);
+                fetchQueue.enqueue(digest, from);
                 round.missingSlots.add(digest);
             }
         }
@@ -122,13 +122,13 @@
     }
 
     /** Receives digests of another member's entries in the leaves that differ, and queues the fetch of those missing here. */
-    void factStamps(String from, CopyMessage.FactStamps digests) {
-        digests.stamps().stream().filter(entryStore::wants).forEach(digest -> fetchQueue.want(digest, from));
+    void receiveEntryDigests(String from, ShardMessage.EntryDigests digests) {
+        digests.stamps().stream().filter(entryStore::isMissing).forEach(digest -> fetchQueue.enqueue(digest, from));
     }
 
     /** Records that a fetched slot has arrived and has been merged. */
-    void slot(long nowUs, String from, Order.Key key) {
-        fetchQueue.got(key, from).forEach((digest, sources) -> {
+    void slotReceived(long nowUs, String from, Order.Key key) {
+        fetchQueue.received(key, from).forEach((digest, sources) -> {
             for (String source : sources) {
                 Round round = rounds.get(source);
                 if (round != null && round.missingSlots.remove(digest)) {
@@ -142,18 +142,18 @@
     }
 
     /** Records that a fetched entry has arrived. */
-    void fact(Fact.Key key) {
-        fetchQueue.got(key);
+    void entryReceived(Entry.Key key) {
+        fetchQueue.received(key);
     }
 
     /** Returns the number of slots and entries still to be fetched. */
-    int waiting() {
+    int waitingCount() {
         return fetchQueue.size();
     }
 
     private void finish(String with, long nowUs) {
         rounds.remove(with);
-        catchUpState.compared(with, nowUs);
+        catchUpState.recordCompared(with, nowUs);
     }
 
     private void begin(long nowUs, String name, Long entriesRoot, Outbox out) {
@@ -164,7 +164,7 @@
         }
         Round round = new Round(++roundCount);
         rounds.put(name, round);
-        out.send(name, new CopyMessage.Compare(round.number, catchUpState.awayUs(nowUs), slotStore.tree().root(), entriesRoot));
+        out.send(name, new ShardMessage.CompareRoots(round.number, catchUpState.awayUs(nowUs), slotStore.tree().root(), entriesRoot));
     }
 
     /**
@@ -172,13 +172,13 @@
      * a lost message is not mistaken for silence.
      */
     private Set<String> membersToAsk() {
-        List<String> candidates = new ArrayList<>(peers.alive().stream().filter(peers::isConfigured).toList());
+        List<String> candidates = new ArrayList<>(peers.aliveOthers().stream().filter(peers::isConfigured).toList());
         long periods = Math.max(1, settings.silenceUs() / settings.compareUs() - 1);
-        int count = (int) ((peers.othersNeeded() + periods - 1) / periods) * (catchUpState.level() ? 1 : 2);
+        int count = (int) ((peers.othersForMajority() + periods - 1) / periods) * (catchUpState.isCaughtUp() ? 1 : 2);
         Set<String> chosen = new LinkedHashSet<>();
         candidates.sort(Comparator.comparingLong(name -> lastRequest.getOrDefault(name, 0L)));
         candidates.stream().limit(count).forEach(chosen::add);
-        candidates.sort(Comparator.comparingLong(catchUpState::heardUs));
+        candidates.sort(Comparator.comparingLong(catchUpState::lastHeardUs));
         candidates.stream().filter(name -> !chosen.contains(name)).limit((count + 3) / 4).toList().forEach(chosen::add);
         return chosen;
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/Touch.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/CatchUpState.java
@@ -10,7 +10,7 @@
  * <p>A member is caught up while it hears from a majority, once its replica has been compared with a majority. A member that starts is
  * not caught up before any promise of its previous life, of which it knows nothing, has expired.
  */
-final class Touch {
+final class CatchUpState {
     /** The age of a replica that was never caught up: older than any other, yet so small that differences do not overflow. */
     static final long NEVER_US = Long.MAX_VALUE / 4;
 
@@ -20,9 +20,9 @@
      */
     private static final long PAUSES_PER_GAP = 10;
 
-    private final CopySettings settings;
-    private final Neighbours peers;
-    private final Figures counters;
+    private final ShardSettings settings;
+    private final PeerSet peers;
+    private final ShardCounters counters;
     private final Map<String, Long> heardAtUs = new TreeMap<>();
     private final Map<String, Long> comparedAtUs = new TreeMap<>();
     private boolean started;
@@ -33,14 +33,14 @@
     private long pauseUs;
     private long pauseEndUs;
 
-    Touch(CopySettings settings, Neighbours peers, Figures counters) {
+    CatchUpState(ShardSettings settings, PeerSet peers, ShardCounters counters) {
         this.counters = counters;
         this.settings = settings;
         this.peers = peers;
     }
 
     /** Records the time of an event. Returns whether catch-up has to start anew: at the first event, and after a suspension. */
-    boolean clock(long nowUs) {
+    boolean advanceClock(long nowUs) {
         if (!started) {
             started = true;
             startUs = nowUs;
@@ -64,39 +64,39 @@
         if (stepUs <= settings.gapUs()) {
             return false;
         }
-        counters.count("touch.stood_still");
+        counters.increment("touch.stood_still");
         fallBehind();
         return true;
     }
 
     /** Records that the replica was restored from disk, where it was last in use {@code awayUs} ago. */
-    void restored(long nowUs, long awayUs) {
+    void recordRestored(long nowUs, long awayUs) {
         lastCaughtUpUs = nowUs - Math.min(Math.max(awayUs, 0), NEVER_US);
     }
 
     /** Records that a message from a member has arrived. */
-    void heard(String from, long nowUs) {
+    void recordHeard(String from, long nowUs) {
         if (peers.isConfigured(from)) {
             heardAtUs.put(from, nowUs);
         }
     }
 
     /** Returns the time when a member was last heard from, or a time before any possible message if it never was. */
-    long heardUs(String name) {
+    long lastHeardUs(String name) {
         return heardAtUs.getOrDefault(name, startUs - NEVER_US);
     }
 
     /** Records that the replica equals a member's, or has taken in all that the member's has. */
-    void compared(String with, long nowUs) {
+    void recordCompared(String with, long nowUs) {
         if (peers.isConfigured(with)) {
             comparedAtUs.put(with, nowUs);
         }
     }
 
     /** Updates whether the replica is caught up, and returns whether that has changed. */
-    boolean settle(long nowUs) {
+    boolean update(long nowUs) {
         boolean hearsMajority =
-                heardAtUs.values().stream().filter(at -> nowUs - at <= settings.silenceUs()).count() >= peers.othersNeeded();
+                heardAtUs.values().stream().filter(at -> nowUs - at <= settings.silenceUs()).count() >= peers.othersForMajority();
         if (caughtUp) {
             if (!hearsMajority) {
                 fallBehind();
@@ -105,19 +105,19 @@
         }
         // An old comparison does not count: the member may have been silent since then.
         comparedAtUs.values().removeIf(at -> nowUs - at > settings.silenceUs());
-        boolean alone = peers.configuredSize() == 1 && peers.othersNeeded() == 0;
+        boolean alone = peers.configuredSize() == 1 && peers.othersForMajority() == 0;
         boolean promisesExpired = alone || nowUs - startUs > settings.promiseUs();
-        caughtUp = hearsMajority && promisesExpired && comparedAtUs.size() >= peers.othersNeeded();
+        caughtUp = hearsMajority && promisesExpired && comparedAtUs.size() >= peers.othersForMajority();
         return caughtUp;
     }
 
-    boolean level() {
+    boolean isCaughtUp() {
         return caughtUp;
     }
 
     /** Returns the number of replicas, this one included, with which the replica has been compared. */
-    int compared() {
-        return comparedAtUs.size() + peers.majority() - peers.othersNeeded();
+    int comparedCount() {
+        return comparedAtUs.size() + peers.majority() - peers.othersForMajority();
     }
 
     /** Returns the time since the replica was last caught up, which is zero while it is. */
@@ -126,13 +126,13 @@
     }
 
     /** Records that the replica has been emptied, so that it is as old as the replica that it is filled from. */
-    void emptied(long nowUs, long awayUs) {
+    void recordEmptied(long nowUs, long awayUs) {
         lastCaughtUpUs = nowUs - awayUs;
         comparedAtUs.clear();
     }
 
     /** Returns the time to add to the ages of arriving entries, because they may have waited in a socket while this member was paused. */
-    long waitedUs(long nowUs) {
+    long possibleDelayUs(long nowUs) {
         return nowUs - pauseEndUs <= settings.gapUs() ? pauseUs : 0;
     }
 
--- a/fleet/src/main/java/walkpost/fleet/copy/Acting.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/EffectiveOrder.java
@@ -9,8 +9,8 @@
  * @param chosen the decided order that all replicas choose; null if the key has none
  * @param rivals other decided orders for the key that conflict with the chosen one until an operator settles them
  */
-public record Acting(String payload, Order chosen, List<Order> rivals) {
-    public Acting {
+public record EffectiveOrder(String payload, Order chosen, List<Order> rivals) {
+    public EffectiveOrder {
         rivals = List.copyOf(rivals);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Fact.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Entry.java
@@ -13,8 +13,8 @@
  * @param ageUs the time since the writer observed the content: the time spent at each member on the way, by its monotonic clock, and
  *     the round trip of each hop as an upper bound of its transit time. Not part of the order of versions
  */
-public record Fact(Key key, long incarnation, long version, String payload, long ageUs) {
-    public Fact {
+public record Entry(Key key, long incarnation, long version, String payload, long ageUs) {
+    public Entry {
         Objects.requireNonNull(key, "key");
     }
 
--- a/fleet/src/main/java/walkpost/fleet/copy/Fetches.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/FetchQueue.java
@@ -14,7 +14,7 @@
  * Content that several members have in common is requested from them in turn, so that no member serves all requests and one that does
  * not answer blocks none.
  */
-final class Fetches {
+final class FetchQueue {
     private static final long RETRY_INTERVAL_US = 1_000_000;
     private static final int MAX_TRIES = 6;
     private static final int MAX_KEYS_PER_REQUEST = 64;
@@ -31,28 +31,28 @@
         }
     }
 
-    private final CopySettings settings;
-    private final Map<CopyMessage.SlotStamp, Fetch> slots = new LinkedHashMap<>();
-    private final Map<Order.Key, Set<CopyMessage.SlotStamp>> slotsByKey = new LinkedHashMap<>();
-    private final Map<Fact.Key, Fetch> entries = new LinkedHashMap<>();
+    private final ShardSettings settings;
+    private final Map<ShardMessage.SlotDigest, Fetch> slots = new LinkedHashMap<>();
+    private final Map<Order.Key, Set<ShardMessage.SlotDigest>> slotsByKey = new LinkedHashMap<>();
+    private final Map<Entry.Key, Fetch> entries = new LinkedHashMap<>();
     private double tokens;
     private long refilledUs;
 
-    Fetches(CopySettings settings, long nowUs) {
+    FetchQueue(ShardSettings settings, long nowUs) {
         this.settings = settings;
         this.refilledUs = nowUs;
     }
 
     /** Queues the fetch of a slot that {@code from} has. */
-    void want(CopyMessage.SlotStamp digest, String from) {
+    void enqueue(ShardMessage.SlotDigest digest, String from) {
         slots.computeIfAbsent(digest, Fetch::new).sources.add(from);
         slotsByKey.computeIfAbsent(digest.key(), key -> new LinkedHashSet<>()).add(digest);
     }
 
     /** Queues the fetch of an entry that {@code from} has, unless the fetch of a newer version is queued. */
-    void want(CopyMessage.FactStamp digest, String from) {
+    void enqueue(ShardMessage.EntryDigest digest, String from) {
         Fetch fetch = entries.get(digest.key());
-        if (fetch == null || isNewer(digest, (CopyMessage.FactStamp) fetch.digest)) {
+        if (fetch == null || isNewer(digest, (ShardMessage.EntryDigest) fetch.digest)) {
             fetch = new Fetch(digest);
             entries.put(digest.key(), fetch);
         }
@@ -65,9 +65,9 @@
      * Records that a slot has arrived from a member, and removes all queued versions of the slot that this member had: the slot received
      * equals them or includes them. Returns the removed versions with their sources.
      */
-    Map<CopyMessage.SlotStamp, Set<String>> got(Order.Key key, String from) {
-        Map<CopyMessage.SlotStamp, Set<String>> done = new LinkedHashMap<>();
-        for (CopyMessage.SlotStamp digest : List.copyOf(slotsByKey.getOrDefault(key, Set.of()))) {
+    Map<ShardMessage.SlotDigest, Set<String>> received(Order.Key key, String from) {
+        Map<ShardMessage.SlotDigest, Set<String>> done = new LinkedHashMap<>();
+        for (ShardMessage.SlotDigest digest : List.copyOf(slotsByKey.getOrDefault(key, Set.of()))) {
             if (slots.get(digest).sources.contains(from)) {
                 done.put(digest, slots.get(digest).sources);
                 remove(digest);
@@ -77,7 +77,7 @@
     }
 
     /** Records that an entry has arrived, of whichever version: if it still differs, the next comparison queues it again. */
-    void got(Fact.Key key) {
+    void received(Entry.Key key) {
         entries.remove(key);
     }
 
@@ -85,13 +85,13 @@
      * Sends as many requests as the rate allows. Removes fetches that no source has answered after {@link #MAX_TRIES}, and passes the
      * slots among them to {@code abandoned} with their sources.
      */
-    void ask(long nowUs, Outbox out, BiConsumer<CopyMessage.SlotStamp, Set<String>> abandoned) {
+    void sendRequests(long nowUs, Outbox out, BiConsumer<ShardMessage.SlotDigest, Set<String>> abandoned) {
         // The burst is limited to the tokens of a tenth of a second, because a larger one would defeat the rate limit.
         double burst = Math.max(1, settings.fetchPerSecond() / 10.0);
         tokens = Math.min(burst, tokens + settings.fetchPerSecond() * (nowUs - refilledUs) / 1e6);
         refilledUs = nowUs;
         Map<String, List<Order.Key>> slotsBySource = new TreeMap<>();
-        for (Map.Entry<CopyMessage.SlotStamp, Fetch> each : List.copyOf(slots.entrySet())) {
+        for (Map.Entry<ShardMessage.SlotDigest, Fetch> each : List.copyOf(slots.entrySet())) {
             if (tokens < 1) {
                 break;
             }
@@ -103,8 +103,8 @@
                 abandoned.accept(each.getKey(), each.getValue().sources);
             }
         }
-        Map<String, List<Fact.Key>> entriesBySource = new TreeMap<>();
-        for (Map.Entry<Fact.Key, Fetch> each : List.copyOf(entries.entrySet())) {
+        Map<String, List<Entry.Key>> entriesBySource = new TreeMap<>();
+        for (Map.Entry<Entry.Key, Fetch> each : List.copyOf(entries.entrySet())) {
             if (tokens < 1) {
                 break;
             }
@@ -116,9 +116,9 @@
             }
         }
         slotsBySource.forEach((source, keys) ->
-                split(keys).forEach(part -> out.send(source, new CopyMessage.Want(part, List.of()))));
+                split(keys).forEach(part -> out.send(source, new ShardMessage.FetchRequest(part, List.of()))));
         entriesBySource.forEach((source, keys) ->
-                split(keys).forEach(part -> out.send(source, new CopyMessage.Want(List.of(), part))));
+                split(keys).forEach(part -> out.send(source, new ShardMessage.FetchRequest(List.of(), part))));
     }
 
     /** Returns the number of queued fetches. */
@@ -141,16 +141,16 @@
         return sources.get(Math.floorMod(fetch.digest.hashCode() + fetch.tries, sources.size()));
     }
 
-    private void remove(CopyMessage.SlotStamp digest) {
+    private void remove(ShardMessage.SlotDigest digest) {
         slots.remove(digest);
-        Set<CopyMessage.SlotStamp> sameKey = slotsByKey.get(digest.key());
+        Set<ShardMessage.SlotDigest> sameKey = slotsByKey.get(digest.key());
         sameKey.remove(digest);
         if (sameKey.isEmpty()) {
             slotsByKey.remove(digest.key());
         }
     }
 
-    private static boolean isNewer(CopyMessage.FactStamp one, CopyMessage.FactStamp other) {
+    private static boolean isNewer(ShardMessage.EntryDigest one, ShardMessage.EntryDigest other) {
         return one.incarnation() > other.incarnation()
                 || one.incarnation() == other.incarnation() && one.version() >= other.version() && !one.equals(other);
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/HashTree.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/HashTree.java
@@ -29,7 +29,7 @@
     /** Adds a key or updates its content. The upper bits of the key's hash select the leaf, because the lower bits select the shard. */
     public void put(K key, long keyHash, long contentHash) {
         int leaf = (int) (keyHash >>> 56);
-        long hash = entry(keyHash, contentHash);
+        long hash = entryHash(keyHash, contentHash);
         Long previous = leaves.get(leaf).put(key, hash);
         hashes[leaf] ^= hash ^ (previous == null ? 0 : previous);
     }
@@ -76,7 +76,7 @@
         return leaves.get((int) (keyHash >>> 56)).get(key);
     }
 
-    static long entry(long keyHash, long contentHash) {
+    static long entryHash(long keyHash, long contentHash) {
         return mix(keyHash ^ mix(contentHash));
     }
 
--- a/fleet/src/main/java/walkpost/fleet/copy/Shards.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/KeyHash.java
@@ -3,13 +3,13 @@
 import net.openhft.hashing.LongHashFunction;
 
 /** Hashes keys, to find their shard and their leaf in its hash trees. The hash is XXH3, which is the same on all machines and versions. */
-public final class Shards {
+public final class KeyHash {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    private Shards() { }
+    private KeyHash() { }
 
     /** Returns the number of the shard, from zero, of a topic and subject. Entries of all writers on one subject are in the same shard. */
-    public static int of(String topic, String subject, int shards) {
+    public static int shardOf(String topic, String subject, int shards) {
         return (int) Long.remainderUnsigned(hash(topic, subject), shards);
     }
 
--- a/fleet/src/main/java/walkpost/fleet/copy/Sizes.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/MessageSizes.java
@@ -5,7 +5,7 @@
 import java.util.function.ToIntFunction;
 
 /** Upper estimates of the encoded size of message contents (CBOR, with field names), and the size limits for orders and entries. */
-public final class Sizes {
+public final class MessageSizes {
     /** The limit, in bytes, for the content of one message: with its envelope, the message stays below 32 KiB. */
     public static final int MESSAGE = 20 * 1024;
     /** The limit for the parts of an answer. A higher number comes from a malformed message, and tracking that many costs memory. */
@@ -21,15 +21,15 @@
     /** The limit for the payload of an entry, in bytes. */
     public static final int FACT = 8192;
 
-    private Sizes() { }
+    private MessageSizes() { }
 
     /** Returns whether {@code part} is a valid number, from zero, among {@code parts} parts. */
-    public static boolean part(int part, int parts) {
+    public static boolean isValidPart(int part, int parts) {
         return part >= 0 && part < parts && parts <= MAX_PARTS;
     }
 
     /** Returns the length of a text in UTF-8, in bytes; zero for null. */
-    public static int utf8(String text) {
+    public static int utf8Length(String text) {
         if (text == null) {
             return 0;
         }
@@ -42,29 +42,29 @@
         return bytes;
     }
 
-    static int of(Fact.Key key) {
-        return 32 + utf8(key.topic()) + utf8(key.subject()) + utf8(key.writer());
+    static int bytesOf(Entry.Key key) {
+        return 32 + utf8Length(key.topic()) + utf8Length(key.subject()) + utf8Length(key.writer());
     }
 
-    public static int of(Fact entry) {
-        return 72 + of(entry.key()) + utf8(entry.payload());
+    public static int bytesOf(Entry entry) {
+        return 72 + bytesOf(entry.key()) + utf8Length(entry.payload());
     }
 
-    public static int of(Order.Key key) {
-        return 24 + utf8(key.topic()) + utf8(key.subject());
+    public static int bytesOf(Order.Key key) {
+        return 24 + utf8Length(key.topic()) + utf8Length(key.subject());
     }
 
-    public static int of(Slot slot) {
-        int bytes = 48 + of(slot.key());
+    public static int bytesOf(Slot slot) {
+        int bytes = 48 + bytesOf(slot.key());
         for (Order head : slot.heads()) {
-            bytes += 120 + of(head.key()) + utf8(head.id()) + utf8(head.payload()) + utf8(head.before()) + utf8(head.issuer().name());
-            bytes += head.replaces().stream().mapToInt(id -> 3 + utf8(id)).sum();
+            bytes += 120 + bytesOf(head.key()) + utf8Length(head.id()) + utf8Length(head.payload()) + utf8Length(head.before()) + utf8Length(head.issuer().name());
+            bytes += head.replaces().stream().mapToInt(id -> 3 + utf8Length(id)).sum();
         }
-        return bytes + slot.replaced().keySet().stream().mapToInt(id -> 12 + utf8(id)).sum();
+        return bytes + slot.replaced().keySet().stream().mapToInt(id -> 12 + utf8Length(id)).sum();
     }
 
     /** Splits a list into parts that each fit in a message. An element that is too large for any message forms a part of its own. */
-    public static <T> List<List<T>> parts(List<T> elements, ToIntFunction<T> bytesOf) {
+    public static <T> List<List<T>> split(List<T> elements, ToIntFunction<T> bytesOf) {
         List<List<T>> parts = new ArrayList<>();
         List<T> part = new ArrayList<>();
         int bytes = 0;
--- a/fleet/src/main/java/walkpost/fleet/copy/Proposals.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
@@ -12,11 +12,11 @@
 import walkpost.fleet.member.Life;
 
 /**
- * The coordinator's side of orders (steps 1 to 5 in {@link CopyMessage}): owns the orders that operators have given to this member and
+ * The coordinator's side of orders (steps 1 to 5 in {@link ShardMessage}): owns the orders that operators have given to this member and
  * that are not answered yet. With promises of a majority, a round is either decided before its deadline by this member's own clock, or
  * abandoned for good.
  */
-final class Proposals {
+final class OrderCoordinator {
     private static final long RESEND_INTERVAL_US = 200_000;
 
     /** An order under way. Until its deadline it waits for a majority: of promises before it is decided, of confirmations after. */
@@ -26,7 +26,7 @@
         private final boolean decided;
         private final long deadlineUs;
         private final TreeSet<String> confirmedBy = new TreeSet<>();
-        private final Map<String, CopyMessage.Declined> declinedBy = new TreeMap<>();
+        private final Map<String, ShardMessage.Declined> declinedBy = new TreeMap<>();
         private long sentUs;
 
         private Proposal(Order order, long round, boolean decided, long nowUs, long deadlineUs) {
@@ -38,18 +38,18 @@
         }
     }
 
-    private final CopySettings settings;
+    private final ShardSettings settings;
     private final Life self;
-    private final Neighbours peers;
-    private final Touch catchUpState;
-    private final OrderBook slotStore;
-    private final Promises acceptor;
-    private final Figures counters;
+    private final PeerSet peers;
+    private final CatchUpState catchUpState;
+    private final SlotStore slotStore;
+    private final Acceptor acceptor;
+    private final ShardCounters counters;
     private final Map<String, Proposal> proposals = new LinkedHashMap<>();
     private long lastRound;
 
-    Proposals(CopySettings settings, Life self, Neighbours peers, Touch catchUpState, OrderBook slotStore, Promises acceptor,
-            Figures counters) {
+    OrderCoordinator(ShardSettings settings, Life self, PeerSet peers, CatchUpState catchUpState, SlotStore slotStore, Acceptor acceptor,
+            ShardCounters counters) {
         this.settings = settings;
         this.self = self;
         this.peers = peers;
@@ -58,22 +58,22 @@
         this.acceptor = acceptor;
         this.counters = counters;
         // Each life starts its rounds at another number, so that an answer to a former life is not taken for one to this life.
-        this.lastRound = Shards.hash(self.toString()) >>> 16;
+        this.lastRound = KeyHash.hash(self.toString()) >>> 16;
     }
 
     /** Starts an operator's order, or refuses it; an order that is known already is answered again. */
-    void propose(long nowUs, CopyEvent.Propose call, Outbox out) {
+    void propose(long nowUs, ShardEvent.Propose call, Outbox out) {
         Slot slot = slotStore.slot(call.key());
         Proposal running = proposals.get(call.id());
         try {
-            check(call, slot, running == null ? SlotRule.head(slot, call.id()) : running.order);
+            check(call, slot, running == null ? SlotMerge.findHead(slot, call.id()) : running.order);
             if (running != null) {
                 return;
             }
-            if (!catchUpState.level()) {
+            if (!catchUpState.isCaughtUp()) {
                 throw notCaughtUp();
             }
-            Order known = SlotRule.head(slot, call.id());
+            Order known = SlotMerge.findHead(slot, call.id());
             if (known != null) {
                 commit(nowUs, known, nowUs + settings.answerUs(), out);
                 return;
@@ -86,8 +86,8 @@
             }
             start(nowUs, order, slot, out);
         } catch (FleetException e) {
-            out.tell(new CopyAction.Refused(call.id(), e));
-            counters.count("orders.refused");
+            out.add(new ShardAction.Refused(call.id(), e));
+            counters.increment("orders.refused");
         }
     }
 
@@ -96,7 +96,7 @@
      *
      * @param stored whether it confirms that the order is stored
      */
-    void yes(long nowUs, String from, long round, String id, boolean stored, Outbox out) {
+    void recordConfirmation(long nowUs, String from, long round, String id, boolean stored, Outbox out) {
         Proposal proposal = current(round, id);
         if (proposal != null && proposal.decided == stored && peers.isConfigured(from)) {
             proposal.confirmedBy.add(from);
@@ -105,7 +105,7 @@
     }
 
     /** Records that an acceptor declined a proposal. The caller has merged the acceptor's slot into this replica before. */
-    void no(String from, CopyMessage.Declined declined) {
+    void recordDeclined(String from, ShardMessage.Declined declined) {
         Proposal proposal = current(declined.round(), declined.id());
         if (proposal != null && peers.isConfigured(from)) {
             proposal.declinedBy.put(from, declined);
@@ -113,7 +113,7 @@
     }
 
     /** Fails the orders whose deadline has passed. The caller does this before anything else that happens at this time. */
-    void expire(long nowUs, Outbox out) {
+    void failExpired(long nowUs, Outbox out) {
         for (Proposal proposal : List.copyOf(proposals.values())) {
             if (nowUs > proposal.deadlineUs) {
                 fail(proposal, timeout(proposal), out);
@@ -128,7 +128,7 @@
     void review(long nowUs, Outbox out) {
         for (Proposal proposal : List.copyOf(proposals.values())) {
             Slot slot = slotStore.slot(proposal.order.key());
-            Order known = SlotRule.head(slot, proposal.order.id());
+            Order known = SlotMerge.findHead(slot, proposal.order.id());
             if (!proposal.decided && known != null && Objects.equals(known.payload(), proposal.order.payload())) {
                 // The order was decided in an earlier round or by another member, and this member has learnt of it since.
                 releasePromises(proposal, out);
@@ -144,28 +144,28 @@
             }
             if (nowUs - proposal.sentUs >= RESEND_INTERVAL_US) {
                 proposal.sentUs = nowUs;
-                peers.missing(proposal.confirmedBy).forEach(to -> send(proposal, to, out));
+                peers.configuredExcept(proposal.confirmedBy).forEach(to -> send(proposal, to, out));
             }
         }
     }
 
-    private void check(CopyEvent.Propose call, Slot slot, Order known) throws FleetException {
+    private void check(ShardEvent.Propose call, Slot slot, Order known) throws FleetException {
         String problem = null;
-        if (call.id() == null || call.id().isBlank() || Sizes.utf8(call.id()) > Sizes.ID) {
-            problem = "an order needs an id of 1 to " + Sizes.ID + " bytes";
-        } else if (call.key().topic().isBlank() || Sizes.utf8(call.key().topic()) > Sizes.TOPIC) {
-            problem = "an order needs a topic of 1 to " + Sizes.TOPIC + " bytes";
-        } else if (call.key().subject().isBlank() || Sizes.utf8(call.key().subject()) > Sizes.SUBJECT) {
-            problem = "an order needs a subject of 1 to " + Sizes.SUBJECT + " bytes";
-        } else if (Sizes.utf8(call.payload()) > Sizes.PAYLOAD) {
-            problem = "the payload of an order has at most " + Sizes.PAYLOAD + " bytes, found " + Sizes.utf8(call.payload());
+        if (call.id() == null || call.id().isBlank() || MessageSizes.utf8Length(call.id()) > MessageSizes.ID) {
+            problem = "an order needs an id of 1 to " + MessageSizes.ID + " bytes";
+        } else if (call.key().topic().isBlank() || MessageSizes.utf8Length(call.key().topic()) > MessageSizes.TOPIC) {
+            problem = "an order needs a topic of 1 to " + MessageSizes.TOPIC + " bytes";
+        } else if (call.key().subject().isBlank() || MessageSizes.utf8Length(call.key().subject()) > MessageSizes.SUBJECT) {
+            problem = "an order needs a subject of 1 to " + MessageSizes.SUBJECT + " bytes";
+        } else if (MessageSizes.utf8Length(call.payload()) > MessageSizes.PAYLOAD) {
+            problem = "the payload of an order has at most " + MessageSizes.PAYLOAD + " bytes, found " + MessageSizes.utf8Length(call.payload());
         } else if (call.payload() != null && call.payload().indexOf('\n') >= 0) {
             problem = "the payload of an order is one line of JSON, found a line break";
         } else if (known != null && !(known.key().equals(call.key()) && Objects.equals(known.payload(), call.payload()))) {
             problem = "the id " + call.id() + " belongs to another order";
-        } else if (known == null && call.payload() == null && SlotRule.removed(slot) && !slot.replaced().containsKey(call.id())) {
+        } else if (known == null && call.payload() == null && SlotMerge.isRemoved(slot) && !slot.replaced().containsKey(call.id())) {
             problem = "no order is in force that could be revoked";
-        } else if (SlotRule.next(slot) > FactBook.LIMIT) {
+        } else if (SlotMerge.nextVersion(slot) > EntryStore.LIMIT) {
             problem = "no version is left for this key";
         }
         if (problem != null) {
@@ -173,33 +173,33 @@
         }
     }
 
-    private Order create(CopyEvent.Propose call, Slot slot) throws FleetException {
-        List<String> inForce = SlotRule.ids(slot);
+    private Order create(ShardEvent.Propose call, Slot slot) throws FleetException {
+        List<String> inForce = SlotMerge.headIds(slot);
         String replaces = call.replaces();
         boolean replacesWhatIsInForce = replaces == null
-                || (replaces.isEmpty() ? SlotRule.removed(slot) : inForce.equals(List.of(replaces)));
+                || (replaces.isEmpty() ? SlotMerge.isRemoved(slot) : inForce.equals(List.of(replaces)));
         if (!replacesWhatIsInForce || slot.replaced().containsKey(call.id())) {
-            throw new FleetException.Overtaken(call.id(), SlotRule.words(slot));
+            throw new FleetException.Overtaken(call.id(), SlotMerge.describe(slot));
         }
-        if (call.payload() == null && slotStore.full()) {
+        if (call.payload() == null && slotStore.isRemovalMemoryFull()) {
             throw removalMemoryFull();
         }
-        return new Order(call.key(), call.id(), SlotRule.next(slot), inForce, call.payload(), SlotRule.acting(slot).payload(), self);
+        return new Order(call.key(), call.id(), SlotMerge.nextVersion(slot), inForce, call.payload(), SlotMerge.effectiveOrder(slot).payload(), self);
     }
 
     /** Carries out step 1: proposes the order to all configured members, this one first. */
     private void start(long nowUs, Order order, Slot slot, Outbox out) throws FleetException {
         Proposal proposal = new Proposal(order, ++lastRound, false, nowUs, nowUs + settings.answerUs());
-        CopyMessage ownAnswer = acceptor.answer(nowUs, new CopyMessage.Propose(proposal.round, order, slot));
-        if (ownAnswer instanceof CopyMessage.Declined declined) {
-            throw declined.why() == CopyMessage.Reason.BUSY ? new FleetException.Busy(order.id(), declined.other())
-                    : new FleetException.Overtaken(order.id(), SlotRule.words(slot));
+        ShardMessage ownAnswer = acceptor.answerProposal(nowUs, new ShardMessage.Propose(proposal.round, order, slot));
+        if (ownAnswer instanceof ShardMessage.Declined declined) {
+            throw declined.why() == ShardMessage.DeclineReason.BUSY ? new FleetException.Busy(order.id(), declined.other())
+                    : new FleetException.Overtaken(order.id(), SlotMerge.describe(slot));
         }
         proposals.put(order.id(), proposal);
         if (peers.isConfigured(self.name())) {
             proposal.confirmedBy.add(self.name());
         }
-        peers.others().forEach(to -> send(proposal, to, out));
+        peers.configuredOthers().forEach(to -> send(proposal, to, out));
         advance(nowUs, proposal, out);
     }
 
@@ -213,12 +213,12 @@
         }
         if (proposal.decided) {
             proposals.remove(proposal.order.id());
-            out.tell(new CopyAction.Acknowledged(proposal.order.id(), proposal.order));
-            counters.count("orders.acknowledged");
+            out.add(new ShardAction.Acknowledged(proposal.order.id(), proposal.order));
+            counters.increment("orders.acknowledged");
         } else if (nowUs <= proposal.deadlineUs && failure(proposal, slotStore.slot(proposal.order.key())) == null) {
-            acceptor.decided(proposal.order.key(), proposal.order.id());
-            slotStore.decide(nowUs, proposal.order);
-            counters.count("orders.decided");
+            acceptor.releaseDecided(proposal.order.key(), proposal.order.id());
+            slotStore.storeDecided(nowUs, proposal.order);
+            counters.increment("orders.decided");
             commit(nowUs, proposal.order, proposal.deadlineUs + settings.answerUs(), out);
         }
     }
@@ -230,7 +230,7 @@
         if (peers.isConfigured(self.name())) {
             proposal.confirmedBy.add(self.name());
         }
-        peers.everyone().forEach(to -> send(proposal, to, out));
+        peers.aliveOrConfiguredOthers().forEach(to -> send(proposal, to, out));
         advance(nowUs, proposal, out);
     }
 
@@ -239,51 +239,51 @@
             return;
         }
         String id = proposal.order.id();
-        List<Slot> parts = SlotRule.parts(slotStore.slot(proposal.order.key()), id);
+        List<Slot> parts = SlotMerge.split(slotStore.slot(proposal.order.key()), id);
         Slot last = parts.get(parts.size() - 1);
         parts.subList(0, parts.size() - 1).forEach(part ->
-                out.send(to, new CopyMessage.Slots(0, List.of(new CopyMessage.Aged(part, 0)))));
-        out.send(to, proposal.decided ? new CopyMessage.Hold(proposal.round, id, last)
-                : new CopyMessage.Propose(proposal.round, proposal.order, last));
+                out.send(to, new ShardMessage.Slots(0, List.of(new ShardMessage.AgedSlot(part, 0)))));
+        out.send(to, proposal.decided ? new ShardMessage.Commit(proposal.round, id, last)
+                : new ShardMessage.Propose(proposal.round, proposal.order, last));
     }
 
     /** Returns the reason why an order can no longer be decided, or null if it still can. */
     private FleetException failure(Proposal proposal, Slot slot) {
         String id = proposal.order.id();
-        if (!catchUpState.level()) {
+        if (!catchUpState.isCaughtUp()) {
             return notCaughtUp();
         }
-        if (!new TreeSet<>(proposal.order.replaces()).equals(new TreeSet<>(SlotRule.ids(slot)))) {
-            return new FleetException.Overtaken(id, SlotRule.words(slot));
+        if (!new TreeSet<>(proposal.order.replaces()).equals(new TreeSet<>(SlotMerge.headIds(slot)))) {
+            return new FleetException.Overtaken(id, SlotMerge.describe(slot));
         }
-        Collection<CopyMessage.Declined> firmlyDeclined = new ArrayList<>(proposal.declinedBy.values());
-        firmlyDeclined.removeIf(declined -> declined.why() != CopyMessage.Reason.BUSY && declined.why() != CopyMessage.Reason.FULL);
+        Collection<ShardMessage.Declined> firmlyDeclined = new ArrayList<>(proposal.declinedBy.values());
+        firmlyDeclined.removeIf(declined -> declined.why() != ShardMessage.DeclineReason.BUSY && declined.why() != ShardMessage.DeclineReason.FULL);
         if (firmlyDeclined.size() <= peers.configuredSize() - peers.majority()) {
             return null;
         }
-        return firmlyDeclined.stream().filter(declined -> declined.why() == CopyMessage.Reason.BUSY).findFirst()
+        return firmlyDeclined.stream().filter(declined -> declined.why() == ShardMessage.DeclineReason.BUSY).findFirst()
                 .<FleetException>map(busy -> new FleetException.Busy(id, busy.other())).orElseGet(this::removalMemoryFull);
     }
 
     private FleetException timeout(Proposal proposal) {
-        Collection<String> missing = peers.missing(proposal.confirmedBy);
+        Collection<String> missing = peers.configuredExcept(proposal.confirmedBy);
         return proposal.decided ? new FleetException.Uncertain(proposal.order.id(), missing)
                 : new FleetException.NoMajority(proposal.order.id(), proposal.confirmedBy.size(), peers.configuredSize(), missing);
     }
 
     private void fail(Proposal proposal, FleetException failure, Outbox out) {
         proposals.remove(proposal.order.id());
-        out.tell(new CopyAction.Refused(proposal.order.id(), failure));
-        counters.count(proposal.decided ? "orders.uncertain" : "orders.refused");
+        out.add(new ShardAction.Refused(proposal.order.id(), failure));
+        counters.increment(proposal.decided ? "orders.uncertain" : "orders.refused");
         if (!proposal.decided) {
             releasePromises(proposal, out);
         }
     }
 
     private void releasePromises(Proposal proposal, Outbox out) {
-        acceptor.forget(proposal.order.key(), self.name(), self.incarnation(), proposal.round);
-        CopyMessage release = new CopyMessage.Forget(proposal.round, proposal.order.key(), self.incarnation());
-        peers.others().forEach(to -> out.send(to, release));
+        acceptor.release(proposal.order.key(), self.name(), self.incarnation(), proposal.round);
+        ShardMessage release = new ShardMessage.ReleasePromise(proposal.round, proposal.order.key(), self.incarnation());
+        peers.configuredOthers().forEach(to -> out.send(to, release));
     }
 
     private Proposal current(long round, String id) {
@@ -292,7 +292,7 @@
     }
 
     private FleetException notCaughtUp() {
-        return new FleetException.NotLevel(self.name(), catchUpState.compared(), peers.majority());
+        return new FleetException.NotLevel(self.name(), catchUpState.comparedCount(), peers.majority());
     }
 
     private FleetException removalMemoryFull() {
--- a/fleet/src/main/java/walkpost/fleet/copy/Outbox.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Outbox.java
@@ -9,20 +9,20 @@
  * to state that is not on disk.
  */
 final class Outbox {
-    private final List<CopyAction> actions = new ArrayList<>();
+    private final List<ShardAction> actions = new ArrayList<>();
 
-    void send(String to, CopyMessage message) {
-        actions.add(new CopyAction.Send(to, message));
+    void send(String to, ShardMessage message) {
+        actions.add(new ShardAction.Send(to, message));
     }
 
-    void tell(CopyAction action) {
+    void add(ShardAction action) {
         actions.add(action);
     }
 
     /** Passes the changed slots and then all collected actions, in order, to the owner, and empties the outbox. */
-    void release(List<Slot> unsaved, Consumer<CopyAction> owner) {
+    void flush(List<Slot> unsaved, Consumer<ShardAction> owner) {
         if (!unsaved.isEmpty()) {
-            owner.accept(new CopyAction.Persist(unsaved));
+            owner.accept(new ShardAction.Persist(unsaved));
         }
         actions.forEach(owner);
         actions.clear();
--- a/fleet/src/main/java/walkpost/fleet/copy/Neighbours.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/PeerSet.java
@@ -14,14 +14,14 @@
  * The other members that a shard can talk to: the living ones, as membership reports them, and the configured ones, whose majority
  * decides. Owns the shard's random number generator.
  */
-final class Neighbours {
+final class PeerSet {
     private final String self;
     private final Set<String> configured;
     private final long unmeasuredUs;
     private final UniformRandomProvider random;
     private final Map<String, Long> roundTripsUs = new TreeMap<>();
 
-    Neighbours(String self, Set<String> configured, long unmeasuredUs, long seed) {
+    PeerSet(String self, Set<String> configured, long unmeasuredUs, long seed) {
         this.self = self;
         this.configured = new TreeSet<>(configured);
         this.unmeasuredUs = unmeasuredUs;
@@ -29,7 +29,7 @@
     }
 
     /** Replaces the set of living members and the round-trip times to them. */
-    void are(Map<String, Long> roundTripUs) {
+    void setAlive(Map<String, Long> roundTripUs) {
         roundTripsUs.clear();
         roundTripsUs.putAll(roundTripUs);
         roundTripsUs.remove(self);
@@ -49,12 +49,12 @@
     }
 
     /** Returns the number of configured members besides this one that are needed for a majority. */
-    int othersNeeded() {
+    int othersForMajority() {
         return majority() - (isConfigured(self) ? 1 : 0);
     }
 
     /** Returns whether a member is living; this member always is. */
-    boolean alive(String name) {
+    boolean isAlive(String name) {
         return name.equals(self) || roundTripsUs.containsKey(name);
     }
 
@@ -64,29 +64,29 @@
     }
 
     /** Returns the living members except this one. */
-    Collection<String> alive() {
+    Collection<String> aliveOthers() {
         return roundTripsUs.keySet();
     }
 
     /** Returns all configured members except this one, living or not. */
-    List<String> others() {
+    List<String> configuredOthers() {
         return configured.stream().filter(name -> !name.equals(self)).toList();
     }
 
     /** Returns all members except this one that may hold orders: those that are living or configured. */
-    Set<String> everyone() {
-        Set<String> all = new TreeSet<>(others());
+    Set<String> aliveOrConfiguredOthers() {
+        Set<String> all = new TreeSet<>(configuredOthers());
         all.addAll(roundTripsUs.keySet());
         return all;
     }
 
     /** Returns the configured members, possibly this one, that are not in {@code names}. */
-    List<String> missing(Collection<String> names) {
+    List<String> configuredExcept(Collection<String> names) {
         return configured.stream().filter(name -> !names.contains(name)).toList();
     }
 
     /** Draws {@code count} different living members at random, or all of them if there are fewer. */
-    List<String> draw(int count) {
+    List<String> drawAlive(int count) {
         List<String> candidates = new ArrayList<>(roundTripsUs.keySet());
         List<String> drawn = new ArrayList<>();
         while (drawn.size() < count && !candidates.isEmpty()) {
@@ -96,7 +96,7 @@
     }
 
     /** Draws a random time from zero to below {@code belowUs}. */
-    long draw(long belowUs) {
+    long drawTimeUs(long belowUs) {
         return random.nextLong(belowUs);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Shard.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Shard.java
@@ -6,30 +6,30 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import walkpost.fleet.Machine;
+import walkpost.fleet.StateMachine;
 import walkpost.fleet.member.Life;
 
 /**
- * This member's replica of one shard of the fleet's state: the entries and orders whose keys {@link Shards#of} maps to the shard. Each
+ * This member's replica of one shard of the fleet's state: the entries and orders whose keys {@link KeyHash#shardOf} maps to the shard. Each
  * component owns one part of the state; this class passes events to the components and owns what has been reported to the process. See
  * {@code docs/fleet.md}.
  *
  * <p>Not thread-safe: the read methods need the same lock as {@link #handle}. The values that they return are immutable or copies.
  */
-public final class Shard implements Machine<CopyEvent, CopyAction> {
-    private final CopySettings settings;
-    private final Figures counters = new Figures();
+public final class Shard implements StateMachine<ShardEvent, ShardAction> {
+    private final ShardSettings settings;
+    private final ShardCounters counters = new ShardCounters();
     private final Outbox out = new Outbox();
-    private final Neighbours peers;
-    private final Touch catchUpState;
-    private final OrderBook slotStore;
-    private final FactBook entryStore;
-    private final Spread gossip;
-    private final Promises acceptor;
-    private final Proposals coordinator;
-    private final Answers antiEntropyResponder;
-    private final CatchUp antiEntropyRequester;
-    private final Map<Order.Key, Acting> reportedOrders = new HashMap<>();
+    private final PeerSet peers;
+    private final CatchUpState catchUpState;
+    private final SlotStore slotStore;
+    private final EntryStore entryStore;
+    private final EntryGossip gossip;
+    private final Acceptor acceptor;
+    private final OrderCoordinator coordinator;
+    private final AntiEntropyResponder antiEntropyResponder;
+    private final AntiEntropyRequester antiEntropyRequester;
+    private final Map<Order.Key, EffectiveOrder> reportedOrders = new HashMap<>();
     private boolean reportedCaughtUp;
 
     /**
@@ -39,75 +39,75 @@
      * @param configured the names of the members whose majority acknowledges orders; this member need not be among them
      * @param seed the seed for the random choice of members to gossip to and to compare with
      */
-    public Shard(CopySettings settings, Life self, Set<String> configured, long seed) {
+    public Shard(ShardSettings settings, Life self, Set<String> configured, long seed) {
         if (configured.isEmpty()) {
             throw new IllegalArgumentException("configured is empty, expected the name of at least one member");
         }
         this.settings = settings;
-        peers = new Neighbours(self.name(), configured, settings.compareUs(), seed);
-        catchUpState = new Touch(settings, peers, counters);
-        slotStore = new OrderBook(settings, counters);
-        gossip = new Spread(settings, peers);
-        entryStore = new FactBook(settings, peers, counters, self, gossip::add);
-        acceptor = new Promises(settings, catchUpState, slotStore);
-        coordinator = new Proposals(settings, self, peers, catchUpState, slotStore, acceptor, counters);
-        antiEntropyResponder = new Answers(catchUpState, slotStore, entryStore);
-        antiEntropyRequester = new CatchUp(settings, peers, catchUpState, slotStore, entryStore);
+        peers = new PeerSet(self.name(), configured, settings.compareUs(), seed);
+        catchUpState = new CatchUpState(settings, peers, counters);
+        slotStore = new SlotStore(settings, counters);
+        gossip = new EntryGossip(settings, peers);
+        entryStore = new EntryStore(settings, peers, counters, self, gossip::enqueue);
+        acceptor = new Acceptor(settings, catchUpState, slotStore);
+        coordinator = new OrderCoordinator(settings, self, peers, catchUpState, slotStore, acceptor, counters);
+        antiEntropyResponder = new AntiEntropyResponder(catchUpState, slotStore, entryStore);
+        antiEntropyRequester = new AntiEntropyRequester(settings, peers, catchUpState, slotStore, entryStore);
     }
 
     @Override
-    public void handle(long nowUs, CopyEvent event, Consumer<CopyAction> actions) {
-        if (catchUpState.clock(nowUs)) {
+    public void handle(long nowUs, ShardEvent event, Consumer<ShardAction> actions) {
+        if (catchUpState.advanceClock(nowUs)) {
             antiEntropyRequester.reset(nowUs);
         }
-        coordinator.expire(nowUs, out);
+        coordinator.failExpired(nowUs, out);
         acceptor.expire(nowUs);
-        if (event instanceof CopyEvent.Tick) {
+        if (event instanceof ShardEvent.Tick) {
             tick(nowUs);
-        } else if (event instanceof CopyEvent.Received received) {
-            catchUpState.heard(received.from(), nowUs);
+        } else if (event instanceof ShardEvent.Received received) {
+            catchUpState.recordHeard(received.from(), nowUs);
             receive(nowUs, received.from(), received.message());
-        } else if (event instanceof CopyEvent.Peers living) {
-            peers.are(living.roundTripUs());
-        } else if (event instanceof CopyEvent.Tell write) {
-            Fact.Key key = entryStore.tell(nowUs, write.topic(), write.subject(), write.payload());
+        } else if (event instanceof ShardEvent.LivePeers living) {
+            peers.setAlive(living.roundTripUs());
+        } else if (event instanceof ShardEvent.WriteEntry write) {
+            Entry.Key key = entryStore.write(nowUs, write.topic(), write.subject(), write.payload());
             if (key != null) {
-                gossip.first(nowUs, key, entryStore, out);
+                gossip.sendAtOnce(nowUs, key, entryStore, out);
             }
-        } else if (event instanceof CopyEvent.Propose propose) {
+        } else if (event instanceof ShardEvent.Propose propose) {
             coordinator.propose(nowUs, propose, out);
-        } else if (event instanceof CopyEvent.Offered offered) {
+        } else if (event instanceof ShardEvent.SlotsOffered offered) {
             offered.slots().forEach(slot -> slotStore.merge(nowUs, slot, 0));
-        } else if (event instanceof CopyEvent.Restored restored) {
-            catchUpState.restored(nowUs, restored.awayUs());
+        } else if (event instanceof ShardEvent.Restored restored) {
+            catchUpState.recordRestored(nowUs, restored.awayUs());
             restored.slots().forEach(slot -> slotStore.merge(nowUs, slot, 0));
             slotStore.takeUnsaved();
         }
         updateCaughtUp(nowUs);
         coordinator.review(nowUs, out);
-        entryStore.due(nowUs, out);
+        entryStore.checkAges(nowUs, out);
         reportOrders();
-        out.release(slotStore.takeUnsaved(), actions);
+        out.flush(slotStore.takeUnsaved(), actions);
     }
 
     /** Returns the order in effect for each key, in this replica; for removed keys that are still remembered, the payload is null. */
-    public Map<Order.Key, Acting> acting() {
-        return slotStore.acting();
+    public Map<Order.Key, EffectiveOrder> effectiveOrders() {
+        return slotStore.effectiveOrders();
     }
 
     /** Returns the entries of a topic that are not withdrawn, stale ones included, with their ages at {@code nowUs}. */
-    public List<Fact> facts(String topic, long nowUs) {
-        return entryStore.facts(topic, nowUs);
+    public List<Entry> entries(String topic, long nowUs) {
+        return entryStore.entries(topic, nowUs);
     }
 
     /** Returns whether this replica has caught up with a majority of the configured members. */
-    public boolean level() {
-        return catchUpState.level();
+    public boolean isCaughtUp() {
+        return catchUpState.isCaughtUp();
     }
 
     /** Returns the number of configured members, this one included, with which this replica has been compared. */
-    public int compared() {
-        return catchUpState.compared();
+    public int comparedCount() {
+        return catchUpState.comparedCount();
     }
 
     /** Returns all slots, for a snapshot. */
@@ -116,85 +116,85 @@
     }
 
     /** Returns the counters by name, and the numbers of entries, slots and queued fetches. */
-    public Map<String, Long> figures() {
-        Map<String, Long> all = counters.all();
+    public Map<String, Long> counters() {
+        Map<String, Long> all = counters.snapshot();
         all.put("facts", (long) entryStore.size());
         all.put("slots", (long) slotStore.slots().size());
-        all.put("fetches.waiting", (long) antiEntropyRequester.waiting());
+        all.put("fetches.waiting", (long) antiEntropyRequester.waitingCount());
         return all;
     }
 
     private void tick(long nowUs) {
-        slotStore.forget(nowUs);
-        gossip.round(nowUs, entryStore, out);
+        slotStore.forgetOldRemovals(nowUs);
+        gossip.sendRound(nowUs, entryStore, out);
         antiEntropyRequester.tick(nowUs, out);
     }
 
-    private void receive(long nowUs, String from, CopyMessage message) {
-        if (message instanceof CopyMessage.Facts entries) {
+    private void receive(long nowUs, String from, ShardMessage message) {
+        if (message instanceof ShardMessage.Entries entries) {
             receiveEntries(nowUs, from, entries);
-        } else if (message instanceof CopyMessage.Propose proposal) {
+        } else if (message instanceof ShardMessage.Propose proposal) {
             emptyIfOutdated(nowUs, 0);
             slotStore.merge(nowUs, proposal.slot(), 0);
-            out.send(from, acceptor.answer(nowUs, proposal));
-        } else if (message instanceof CopyMessage.Promised promised) {
-            coordinator.yes(nowUs, from, promised.round(), promised.id(), false, out);
-        } else if (message instanceof CopyMessage.Declined declined) {
+            out.send(from, acceptor.answerProposal(nowUs, proposal));
+        } else if (message instanceof ShardMessage.Promised promised) {
+            coordinator.recordConfirmation(nowUs, from, promised.round(), promised.id(), false, out);
+        } else if (message instanceof ShardMessage.Declined declined) {
             if (declined.slot() != null) {
                 slotStore.merge(nowUs, declined.slot(), 0);
             }
-            coordinator.no(from, declined);
-        } else if (message instanceof CopyMessage.Forget release) {
-            acceptor.forget(release.key(), from, release.incarnation(), release.round());
-        } else if (message instanceof CopyMessage.Hold commit) {
+            coordinator.recordDeclined(from, declined);
+        } else if (message instanceof ShardMessage.ReleasePromise release) {
+            acceptor.release(release.key(), from, release.incarnation(), release.round());
+        } else if (message instanceof ShardMessage.Commit commit) {
             emptyIfOutdated(nowUs, 0);
             slotStore.merge(nowUs, commit.slot(), 0);
-            acceptor.decided(commit.slot().key(), commit.id());
-            if (catchUpState.level()) {
-                out.send(from, new CopyMessage.Held(commit.round(), commit.id()));
+            acceptor.releaseDecided(commit.slot().key(), commit.id());
+            if (catchUpState.isCaughtUp()) {
+                out.send(from, new ShardMessage.Committed(commit.round(), commit.id()));
             }
-        } else if (message instanceof CopyMessage.Held committed) {
-            coordinator.yes(nowUs, from, committed.round(), committed.id(), true, out);
+        } else if (message instanceof ShardMessage.Committed committed) {
+            coordinator.recordConfirmation(nowUs, from, committed.round(), committed.id(), true, out);
         } else {
             receiveAntiEntropy(nowUs, from, message);
         }
     }
 
-    private void receiveAntiEntropy(long nowUs, String from, CopyMessage message) {
-        if (message instanceof CopyMessage.Compare request) {
+    private void receiveAntiEntropy(long nowUs, String from, ShardMessage message) {
+        if (message instanceof ShardMessage.CompareRoots request) {
             emptyIfOutdated(nowUs, request.awayUs());
-            antiEntropyResponder.compare(nowUs, from, request, out);
-        } else if (message instanceof CopyMessage.Nodes nodes) {
+            antiEntropyResponder.answerCompareRoots(nowUs, from, request, out);
+        } else if (message instanceof ShardMessage.NodeHashes nodes) {
             emptyIfOutdated(nowUs, nodes.awayUs());
             if (!isOutdated(nowUs, nodes.awayUs())) {
-                antiEntropyRequester.nodes(nowUs, from, nodes, out);
+                antiEntropyRequester.receiveNodeHashes(nowUs, from, nodes, out);
             }
-        } else if (message instanceof CopyMessage.Leaves request) {
-            antiEntropyResponder.leaves(from, request, out);
-        } else if (message instanceof CopyMessage.SlotStamps digests) {
-            antiEntropyRequester.slotStamps(nowUs, from, digests);
-        } else if (message instanceof CopyMessage.FactStamps digests) {
-            antiEntropyRequester.factStamps(from, digests);
-        } else if (message instanceof CopyMessage.Want request) {
-            antiEntropyResponder.want(nowUs, from, request, out);
-        } else if (message instanceof CopyMessage.Slots slots) {
+        } else if (message instanceof ShardMessage.LeafHashes request) {
+            antiEntropyResponder.answerLeafHashes(from, request, out);
+        } else if (message instanceof ShardMessage.SlotDigests digests) {
+            antiEntropyRequester.receiveSlotDigests(nowUs, from, digests);
+        } else if (message instanceof ShardMessage.EntryDigests digests) {
+            antiEntropyRequester.receiveEntryDigests(from, digests);
+        } else if (message instanceof ShardMessage.FetchRequest request) {
+            antiEntropyResponder.answerFetchRequest(nowUs, from, request, out);
+        } else if (message instanceof ShardMessage.Slots slots) {
             emptyIfOutdated(nowUs, slots.awayUs());
             if (!isOutdated(nowUs, slots.awayUs())) {
                 slots.slots().forEach(aged -> slotStore.merge(nowUs, aged.slot(), aged.removedUs()));
-                slots.slots().forEach(aged -> antiEntropyRequester.slot(nowUs, from, aged.slot().key()));
+                slots.slots().forEach(aged -> antiEntropyRequester.slotReceived(nowUs, from, aged.slot().key()));
             }
         }
     }
 
-    private void receiveEntries(long nowUs, String from, CopyMessage.Facts message) {
-        long transitUs = peers.roundTripUs(from) + catchUpState.waitedUs(nowUs);
-        for (Fact entry : message.facts()) {
+    private void receiveEntries(long nowUs, String from, ShardMessage.Entries message) {
+        long transitUs = peers.roundTripUs(from) + catchUpState.possibleDelayUs(nowUs);
+        for (Entry entry : message.facts()) {
             // A negative age stays as it is, so that the store refuses the entry.
             long ageUs = entry.ageUs() < 0 ? entry.ageUs() : entry.ageUs() + transitUs;
-            Fact aged = new Fact(entry.key(), entry.incarnation(), entry.version(), entry.payload(), ageUs);
-            entryStore.take(nowUs, aged, !message.fetched(), out);
+            Entry aged = new Entry(entry.key(), entry.incarnation(), entry.version(), entry.payload(), ageUs);
+            entryStore.receive(nowUs, aged, !message.fetched(), out);
             if (message.fetched()) {
-                antiEntropyRequester.fact(entry.key());
+                antiEntropyRequester.entryReceived(entry.key());
             }
         }
     }
@@ -205,9 +205,9 @@
      */
     private void emptyIfOutdated(long nowUs, long theirAwayUs) {
         if (isOutdated(theirAwayUs, catchUpState.awayUs(nowUs), settings)) {
-            counters.count("copy.emptied");
+            counters.increment("copy.emptied");
             slotStore.clear();
-            catchUpState.emptied(nowUs, theirAwayUs);
+            catchUpState.recordEmptied(nowUs, theirAwayUs);
             antiEntropyRequester.reset(nowUs);
         }
     }
@@ -217,18 +217,18 @@
         return isOutdated(catchUpState.awayUs(nowUs), theirAwayUs, settings);
     }
 
-    private static boolean isOutdated(long newerAwayUs, long olderAwayUs, CopySettings settings) {
+    private static boolean isOutdated(long newerAwayUs, long olderAwayUs, ShardSettings settings) {
         // Half the duration for which removals are remembered leaves room for the ages that differ between members.
         return olderAwayUs - newerAwayUs > settings.removalUs() / 2;
     }
 
     private void updateCaughtUp(long nowUs) {
-        catchUpState.settle(nowUs);
-        if (catchUpState.level() != reportedCaughtUp) {
-            reportedCaughtUp = catchUpState.level();
-            out.tell(new CopyAction.Level(reportedCaughtUp));
+        catchUpState.update(nowUs);
+        if (catchUpState.isCaughtUp() != reportedCaughtUp) {
+            reportedCaughtUp = catchUpState.isCaughtUp();
+            out.add(new ShardAction.CaughtUpChanged(reportedCaughtUp));
             if (!reportedCaughtUp) {
-                counters.count("touch.lost");
+                counters.increment("touch.lost");
                 antiEntropyRequester.reset(nowUs);
             }
         }
@@ -236,20 +236,20 @@
 
     /** Reports the orders in effect that have changed since they were last reported. Changes wait until this member is caught up. */
     private void reportOrders() {
-        if (!catchUpState.level()) {
+        if (!catchUpState.isCaughtUp()) {
             return;
         }
-        for (Order.Key key : slotStore.takeUntold()) {
-            Acting current = SlotRule.acting(slotStore.slot(key));
-            Acting reported = reportedOrders.get(key);
+        for (Order.Key key : slotStore.takeUnnotified()) {
+            EffectiveOrder current = SlotMerge.effectiveOrder(slotStore.slot(key));
+            EffectiveOrder reported = reportedOrders.get(key);
             if (current.chosen() == null) {
                 reportedOrders.remove(key);
                 if (reported != null && reported.payload() != null) {
-                    out.tell(new CopyAction.Stands(key, current));
+                    out.add(new ShardAction.EffectiveOrderChanged(key, current));
                 }
             } else if (!current.equals(reported)) {
                 reportedOrders.put(key, current);
-                out.tell(new CopyAction.Stands(key, current));
+                out.add(new ShardAction.EffectiveOrderChanged(key, current));
             }
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/CopyMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/ShardMessage.java
@@ -16,29 +16,29 @@
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = CopyMessage.Facts.class, name = "f"),
-    @JsonSubTypes.Type(value = CopyMessage.Propose.class, name = "p"),
-    @JsonSubTypes.Type(value = CopyMessage.Promised.class, name = "py"),
-    @JsonSubTypes.Type(value = CopyMessage.Declined.class, name = "pn"),
-    @JsonSubTypes.Type(value = CopyMessage.Forget.class, name = "pf"),
-    @JsonSubTypes.Type(value = CopyMessage.Hold.class, name = "h"),
-    @JsonSubTypes.Type(value = CopyMessage.Held.class, name = "hy"),
-    @JsonSubTypes.Type(value = CopyMessage.Compare.class, name = "c"),
-    @JsonSubTypes.Type(value = CopyMessage.Nodes.class, name = "cn"),
-    @JsonSubTypes.Type(value = CopyMessage.Leaves.class, name = "cl"),
-    @JsonSubTypes.Type(value = CopyMessage.SlotStamps.class, name = "cs"),
-    @JsonSubTypes.Type(value = CopyMessage.FactStamps.class, name = "cf"),
-    @JsonSubTypes.Type(value = CopyMessage.Want.class, name = "w"),
-    @JsonSubTypes.Type(value = CopyMessage.Slots.class, name = "s")
+    @JsonSubTypes.Type(value = ShardMessage.Entries.class, name = "f"),
+    @JsonSubTypes.Type(value = ShardMessage.Propose.class, name = "p"),
+    @JsonSubTypes.Type(value = ShardMessage.Promised.class, name = "py"),
+    @JsonSubTypes.Type(value = ShardMessage.Declined.class, name = "pn"),
+    @JsonSubTypes.Type(value = ShardMessage.ReleasePromise.class, name = "pf"),
+    @JsonSubTypes.Type(value = ShardMessage.Commit.class, name = "h"),
+    @JsonSubTypes.Type(value = ShardMessage.Committed.class, name = "hy"),
+    @JsonSubTypes.Type(value = ShardMessage.CompareRoots.class, name = "c"),
+    @JsonSubTypes.Type(value = ShardMessage.NodeHashes.class, name = "cn"),
+    @JsonSubTypes.Type(value = ShardMessage.LeafHashes.class, name = "cl"),
+    @JsonSubTypes.Type(value = ShardMessage.SlotDigests.class, name = "cs"),
+    @JsonSubTypes.Type(value = ShardMessage.EntryDigests.class, name = "cf"),
+    @JsonSubTypes.Type(value = ShardMessage.FetchRequest.class, name = "w"),
+    @JsonSubTypes.Type(value = ShardMessage.Slots.class, name = "s")
 })
-public sealed interface CopyMessage {
+public sealed interface ShardMessage {
     /**
      * Carries entries, with their ages at the time of sending.
      *
      * @param fetched whether the receiver requested them; if so, it does not gossip them further
      */
-    record Facts(boolean fetched, List<Fact> facts) implements CopyMessage {
-        public Facts {
+    record Entries(boolean fetched, List<Entry> facts) implements ShardMessage {
+        public Entries {
             facts = List.copyOf(facts);
         }
     }
@@ -49,7 +49,7 @@
      * @param round the coordinator's round, which increases within its life
      * @param slot the coordinator's slot when it made the proposal
      */
-    record Propose(long round, Order order, Slot slot) implements CopyMessage {
+    record Propose(long round, Order order, Slot slot) implements ShardMessage {
         public Propose {
             Objects.requireNonNull(order, "order");
             Objects.requireNonNull(slot, "slot");
@@ -57,7 +57,7 @@
     }
 
     /** Promises the slot's next version to the order (step 2). */
-    record Promised(long round, String id) implements CopyMessage { }
+    record Promised(long round, String id) implements ShardMessage { }
 
     /**
      * Declines to make a promise (step 2).
@@ -66,28 +66,28 @@
      * @param other the order that stands in the way, if any
      * @param slot the sender's slot, if it holds orders that the coordinator lacks; else null
      */
-    record Declined(long round, String id, Reason why, String other, Slot slot) implements CopyMessage {
+    record Declined(long round, String id, ShardMessage.DeclineReason why, String other, Slot slot) implements ShardMessage {
         public Declined {
             Objects.requireNonNull(why, "why");
         }
     }
 
     /** Releases the promise for a round that the coordinator has abandoned for good. */
-    record Forget(long round, Order.Key key, long incarnation) implements CopyMessage {
-        public Forget {
+    record ReleasePromise(long round, Order.Key key, long incarnation) implements ShardMessage {
+        public ReleasePromise {
             Objects.requireNonNull(key, "key");
         }
     }
 
     /** Tells that an order is decided, and asks the receiver to store the slot that holds it or its successor (step 4). */
-    record Hold(long round, String id, Slot slot) implements CopyMessage {
-        public Hold {
+    record Commit(long round, String id, Slot slot) implements ShardMessage {
+        public Commit {
             Objects.requireNonNull(slot, "slot");
         }
     }
 
     /** Confirms that the order is stored (step 4), on disk if the sender has a directory. */
-    record Held(long round, String id) implements CopyMessage { }
+    record Committed(long round, String id) implements ShardMessage { }
 
     /**
      * Starts a comparison with the root hashes of the sender's trees.
@@ -97,7 +97,7 @@
      * @param facts the root hash of the entries; null if they are not to be compared, because entries change all the time and some are
      *     always still being gossiped
      */
-    record Compare(long round, long awayUs, long slots, Long facts) implements CopyMessage { }
+    record CompareRoots(long round, long awayUs, long slots, Long facts) implements ShardMessage { }
 
     /**
      * Answers a comparison with the node hashes of the trees whose roots differ.
@@ -106,16 +106,16 @@
      * @param slots the node hashes of the slots; empty if the roots are equal
      * @param facts the node hashes of the entries; empty if the roots are equal
      */
-    record Nodes(long round, long awayUs, long[] slots, long[] facts) implements CopyMessage {
-        public Nodes {
+    record NodeHashes(long round, long awayUs, long[] slots, long[] facts) implements ShardMessage {
+        public NodeHashes {
             Objects.requireNonNull(slots, "slots");
             Objects.requireNonNull(facts, "facts");
         }
     }
 
     /** Carries the requester's leaf hashes below the nodes that differ, 16 for each node. */
-    record Leaves(long round, int[] slotNodes, long[] slots, int[] factNodes, long[] facts) implements CopyMessage {
-        public Leaves {
+    record LeafHashes(long round, int[] slotNodes, long[] slots, int[] factNodes, long[] facts) implements ShardMessage {
+        public LeafHashes {
             Objects.requireNonNull(slotNodes, "slotNodes");
             Objects.requireNonNull(slots, "slots");
             Objects.requireNonNull(factNodes, "factNodes");
@@ -124,44 +124,44 @@
     }
 
     /** Lists the sender's slots in the leaves that differ. The parts are counted so that the receiver knows when it has them all. */
-    record SlotStamps(long round, int part, int parts, List<SlotStamp> stamps) implements CopyMessage {
-        public SlotStamps {
+    record SlotDigests(long round, int part, int parts, List<ShardMessage.SlotDigest> stamps) implements ShardMessage {
+        public SlotDigests {
             stamps = List.copyOf(stamps);
         }
     }
 
     /** Lists the sender's entries in the leaves that differ. */
-    record FactStamps(long round, List<FactStamp> stamps) implements CopyMessage {
-        public FactStamps {
+    record EntryDigests(long round, List<ShardMessage.EntryDigest> stamps) implements ShardMessage {
+        public EntryDigests {
             stamps = List.copyOf(stamps);
         }
     }
 
     /** Requests slots and entries by key. */
-    record Want(List<Order.Key> slots, List<Fact.Key> facts) implements CopyMessage {
-        public Want {
+    record FetchRequest(List<Order.Key> slots, List<Entry.Key> facts) implements ShardMessage {
+        public FetchRequest {
             slots = List.copyOf(slots);
             facts = List.copyOf(facts);
         }
     }
 
     /** Carries the requested slots; one without history if the sender no longer has the slot. */
-    record Slots(long awayUs, List<Aged> slots) implements CopyMessage {
+    record Slots(long awayUs, List<ShardMessage.AgedSlot> slots) implements ShardMessage {
         public Slots {
             slots = List.copyOf(slots);
         }
     }
 
     /** The key of a slot and the hash of its content. */
-    record SlotStamp(Order.Key key, long hash) {
-        public SlotStamp {
+    record SlotDigest(Order.Key key, long hash) {
+        public SlotDigest {
             Objects.requireNonNull(key, "key");
         }
     }
 
     /** The key and version of an entry, and the hash of its payload. */
-    record FactStamp(Fact.Key key, long incarnation, long version, long hash) {
-        public FactStamp {
+    record EntryDigest(Entry.Key key, long incarnation, long version, long hash) {
+        public EntryDigest {
             Objects.requireNonNull(key, "key");
         }
     }
@@ -172,12 +172,12 @@
      * @param removedUs how long the sender has known that nothing is in force in the slot, because removals are remembered for a limited
      *     time only; zero if an order is in force
      */
-    record Aged(Slot slot, long removedUs) {
-        public Aged {
+    record AgedSlot(Slot slot, long removedUs) {
+        public AgedSlot {
             Objects.requireNonNull(slot, "slot");
         }
     }
 
     /** The reason why a member declines to make a promise. */
-    enum Reason { NOT_LEVEL, OVERTAKEN, BUSY, FULL }
+    enum DeclineReason { NOT_LEVEL, OVERTAKEN, BUSY, FULL }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/CopySettings.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/ShardSettings.java
@@ -17,12 +17,12 @@
  * @param removals how many removed keys a shard remembers at most
  * @param removalUs how long it remembers each removed key
  */
-public record CopySettings(long promiseUs, long answerUs, int fanOut, long compareUs, long silenceUs, long gapUs, int fetchPerSecond,
+public record ShardSettings(long promiseUs, long answerUs, int fanOut, long compareUs, long silenceUs, long gapUs, int fetchPerSecond,
         Map<String, Long> boundsUs, long boundUs, int removals, long removalUs) {
     private static final long SECOND_US = 1_000_000;
 
     /** Throws an {@link IllegalArgumentException} that names the setting that is out of range or contradicts another. */
-    public CopySettings {
+    public ShardSettings {
         boundsUs = Map.copyOf(boundsUs);
         check(answerUs > 0, "answerUs must be above zero");
         check(promiseUs > 2 * answerUs, "promiseUs must be above twice answerUs: a promise has to outlast both phases of its coordinator");
@@ -35,25 +35,25 @@
     }
 
     /** Returns the settings that {@code docs/fleet.md} states, with a staleness bound of 10 s for all topics. */
-    public static CopySettings usual() {
-        return new CopySettings(3 * SECOND_US, SECOND_US, 3, SECOND_US, 5 * SECOND_US, SECOND_US, 2_000,
+    public static ShardSettings defaults() {
+        return new ShardSettings(3 * SECOND_US, SECOND_US, 3, SECOND_US, 5 * SECOND_US, SECOND_US, 2_000,
                 Map.of(), 10 * SECOND_US, 10_000, 24 * 3600 * SECOND_US);
     }
 
     /** Returns these settings with other staleness bounds: by topic, and one for all other topics. */
-    public CopySettings withBounds(Map<String, Long> boundsByTopicUs, long otherBoundUs) {
-        return new CopySettings(promiseUs, answerUs, fanOut, compareUs, silenceUs, gapUs, fetchPerSecond, boundsByTopicUs, otherBoundUs,
+    public ShardSettings withStalenessBounds(Map<String, Long> boundsByTopicUs, long otherBoundUs) {
+        return new ShardSettings(promiseUs, answerUs, fanOut, compareUs, silenceUs, gapUs, fetchPerSecond, boundsByTopicUs, otherBoundUs,
                 removals, removalUs);
     }
 
     /** Returns these settings with another bound and duration for the memory of removed keys. */
-    public CopySettings withRemovals(int maxKeys, long durationUs) {
-        return new CopySettings(promiseUs, answerUs, fanOut, compareUs, silenceUs, gapUs, fetchPerSecond, boundsUs, boundUs,
+    public ShardSettings withRemovals(int maxKeys, long durationUs) {
+        return new ShardSettings(promiseUs, answerUs, fanOut, compareUs, silenceUs, gapUs, fetchPerSecond, boundsUs, boundUs,
                 maxKeys, durationUs);
     }
 
     /** Returns the age at which entries of the topic become stale. */
-    public long bound(String topic) {
+    public long stalenessBoundUs(String topic) {
         return boundsUs.getOrDefault(topic, boundUs);
     }
 
--- a/fleet/src/main/java/walkpost/fleet/copy/Slot.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Slot.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 
 /**
- * The state of a replica for one key: its decided orders, as a value of a join semilattice. See {@link SlotRule} and the merge rule in
+ * The state of a replica for one key: its decided orders, as a value of a join semilattice. See {@link SlotMerge} and the merge rule in
  * {@code docs/fleet.md}.
  *
  * @param heads the decided orders that no other order has replaced, by id; if there are several, they are rivals. Their versions are
@@ -27,7 +27,7 @@
     }
 
     /** Returns whether no order is known for the key, present or replaced. On disk, such a slot removes the key. */
-    public boolean none() {
+    public boolean hasNoHistory() {
         return heads.isEmpty() && replaced.isEmpty() && floor == 0;
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/SlotRule.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/SlotMerge.java
@@ -14,7 +14,7 @@
  * The replaced orders of a replica, {@code replaced} and all up to {@code floor}, are a set that only grows; the join removes the union
  * of both sets from the union of the heads.
  */
-public final class SlotRule {
+public final class SlotMerge {
     /** The number of replaced ids that a slot lists; older ones are covered by its floor. */
     static final int MAX_REPLACED_IDS = 64;
     /** The topic whose rivals take effect together: a server is excluded if any of them excludes it. */
@@ -31,7 +31,7 @@
     /** Orders rivals: all replicas choose the greatest. */
     private static final Comparator<Order> BY_VERSION_AND_ID = Comparator.comparingLong(Order::version).thenComparing(Order::id);
 
-    private SlotRule() { }
+    private SlotMerge() { }
 
     /** Returns the join of two replicas of a slot. */
     public static Slot join(Slot one, Slot other) {
@@ -51,12 +51,12 @@
     }
 
     /** Returns a slot in the form that {@link #join} returns, whatever its origin. */
-    static Slot normal(Slot slot) {
+    static Slot normalize(Slot slot) {
         return join(slot, Slot.empty(slot.key()));
     }
 
     /** Returns the slot with a decided order added. */
-    public static Slot with(Slot slot, Order order) {
+    public static Slot withOrder(Slot slot, Order order) {
         return join(slot, new Slot(slot.key(), List.of(order), Map.of(), 0));
     }
 
@@ -67,48 +67,48 @@
     }
 
     /** Returns the version of an order that replaces all heads. */
-    static long next(Slot slot) {
+    static long nextVersion(Slot slot) {
         return slot.heads().stream().mapToLong(Order::version).reduce(slot.floor(), Math::max) + 1;
     }
 
     /** Returns the ids of the heads, sorted. */
-    static List<String> ids(Slot slot) {
+    static List<String> headIds(Slot slot) {
         return slot.heads().stream().map(Order::id).sorted().toList();
     }
 
     /** Returns the head with an id, or null if there is none. */
-    public static Order head(Slot slot, String id) {
+    public static Order findHead(Slot slot, String id) {
         return slot.heads().stream().filter(head -> head.id().equals(id)).findFirst().orElse(null);
     }
 
     /** Returns whether no order is in force, so that the slot holds at most the memory of a removal. */
-    public static boolean removed(Slot slot) {
+    public static boolean isRemoved(Slot slot) {
         return slot.heads().stream().allMatch(head -> head.payload() == null);
     }
 
     /** Returns the order in effect, by the table in {@code docs/fleet.md}. */
-    public static Acting acting(Slot slot) {
+    public static EffectiveOrder effectiveOrder(Slot slot) {
         if (slot.heads().isEmpty()) {
-            return new Acting(null, null, List.of());
+            return new EffectiveOrder(null, null, List.of());
         }
         List<Order> heads = new ArrayList<>(slot.heads());
         heads.sort(BY_VERSION_AND_ID.reversed());
         Order chosen = heads.get(0);
         if (heads.size() == 1) {
-            return new Acting(chosen.payload(), chosen, List.of());
+            return new EffectiveOrder(chosen.payload(), chosen, List.of());
         }
         String payload = EXCLUSION.equals(slot.key().topic())
                 ? heads.stream().map(Order::payload).filter(text -> text != null).findFirst().orElse(null)
                 : heads.stream().min(Comparator.comparing(Order::id)).orElseThrow().before();
-        return new Acting(payload, chosen, heads.subList(1, heads.size()));
+        return new EffectiveOrder(payload, chosen, heads.subList(1, heads.size()));
     }
 
     /** Describes the orders in force, for an error message. */
-    static String words(Slot slot) {
+    static String describe(Slot slot) {
         return switch (slot.heads().size()) {
             case 0 -> "nothing";
             case 1 -> slot.heads().get(0).id();
-            default -> "rivals " + String.join(" and ", ids(slot)) + ", to be settled by an order that replaces them all";
+            default -> "rivals " + String.join(" and ", headIds(slot)) + ", to be settled by an order that replaces them all";
         };
     }
 
@@ -127,7 +127,7 @@
         }
         words.add(new TreeMap<>(slot.replaced()).entrySet().stream().map(Object::toString).collect(Collectors.joining("\n")));
         words.add(Long.toString(slot.floor()));
-        return Shards.hash(words.toArray(String[]::new));
+        return KeyHash.hash(words.toArray(String[]::new));
     }
 
     /**
@@ -135,11 +135,11 @@
      * replaced ids, so that a receiver does not drop an order before it knows the successor, and the head with id {@code lastId} if there
      * is one.
      */
-    public static List<Slot> parts(Slot slot, String lastId) {
-        if (slot.heads().size() < 2 || Sizes.of(slot) <= Sizes.MESSAGE) {
+    public static List<Slot> split(Slot slot, String lastId) {
+        if (slot.heads().size() < 2 || MessageSizes.bytesOf(slot) <= MessageSizes.MESSAGE) {
             return List.of(slot);
         }
-        Order lastHead = head(slot, lastId) == null ? slot.heads().get(0) : head(slot, lastId);
+        Order lastHead = findHead(slot, lastId) == null ? slot.heads().get(0) : findHead(slot, lastId);
         List<Slot> parts = new ArrayList<>();
         slot.heads().stream().filter(head -> head != lastHead)
                 .forEach(head -> parts.add(new Slot(slot.key(), List.of(head), Map.of(), 0)));
--- a/fleet/src/main/java/walkpost/fleet/copy/OrderBook.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/SlotStore.java
@@ -11,9 +11,9 @@
  * The slots of a shard: owns them, their hash tree, the memory of removed keys, and the sets of slots that have changed since they were
  * last persisted or last reported to the owner.
  */
-final class OrderBook {
-    private final CopySettings settings;
-    private final Figures counters;
+final class SlotStore {
+    private final ShardSettings settings;
+    private final ShardCounters counters;
     private final Map<Order.Key, Slot> slots = new LinkedHashMap<>();
     private final HashTree<Order.Key> tree = new HashTree<>();
     /** The time since which no order has been in force for a key, for the removed keys that are still remembered. */
@@ -22,7 +22,7 @@
     private final Set<Order.Key> unnotified = new LinkedHashSet<>();
     private long nextForgetUs = Long.MIN_VALUE;
 
-    OrderBook(CopySettings settings, Figures counters) {
+    SlotStore(ShardSettings settings, ShardCounters counters) {
         this.settings = settings;
         this.counters = counters;
     }
@@ -55,11 +55,11 @@
     void merge(long nowUs, Slot other, long removalAgeUs) {
         long ageUs = Math.max(removalAgeUs, 0);
         Slot mine = slot(other.key());
-        boolean removal = SlotRule.removed(other);
-        if (mine.none() && removal && ageUs >= settings.removalUs()) {
+        boolean removal = SlotMerge.isRemoved(other);
+        if (mine.hasNoHistory() && removal && ageUs >= settings.removalUs()) {
             return;
         }
-        Slot joined = SlotRule.join(mine, other);
+        Slot joined = SlotMerge.join(mine, other);
         long sinceUs = nowUs - (removal ? ageUs : 0);
         if (joined.equals(mine)) {
             if (removal) {
@@ -67,14 +67,14 @@
             }
             return;
         }
-        mine.heads().stream().filter(head -> head.version() <= joined.floor()).forEach(head -> counters.count("orders.under_floor"));
+        mine.heads().stream().filter(head -> head.version() <= joined.floor()).forEach(head -> counters.increment("orders.under_floor"));
         if (joined.heads().size() > 1 && mine.heads().size() < joined.heads().size()) {
-            counters.count("orders.rivals");
+            counters.increment("orders.rivals");
         }
         put(joined);
-        if (!SlotRule.removed(joined)) {
+        if (!SlotMerge.isRemoved(joined)) {
             removedAtUs.remove(joined.key());
-        } else if (!SlotRule.removed(mine) || !SlotRule.ids(mine).equals(SlotRule.ids(joined))) {
+        } else if (!SlotMerge.isRemoved(mine) || !SlotMerge.headIds(mine).equals(SlotMerge.headIds(joined))) {
             removedAtUs.put(joined.key(), sinceUs);
         } else {
             removedAtUs.merge(joined.key(), sinceUs, Math::min);
@@ -82,23 +82,23 @@
     }
 
     /** Stores a decided order in its slot. */
-    void decide(long nowUs, Order order) {
+    void storeDecided(long nowUs, Order order) {
         merge(nowUs, new Slot(order.key(), List.of(order), Map.of(), 0), 0);
     }
 
     /** Returns whether the memory of removed keys is full. */
-    boolean full() {
+    boolean isRemovalMemoryFull() {
         return removedAtUs.size() >= settings.removals();
     }
 
     /** Returns how long ago a key was removed, or zero if an order is in force for it. */
-    long removedUs(Order.Key key, long nowUs) {
+    long removalAgeUs(Order.Key key, long nowUs) {
         Long since = removedAtUs.get(key);
         return since == null ? 0 : nowUs - since;
     }
 
     /** Forgets the removals that are old enough. Checks once in each comparison period. */
-    void forget(long nowUs) {
+    void forgetOldRemovals(long nowUs) {
         if (nowUs < nextForgetUs) {
             return;
         }
@@ -118,9 +118,9 @@
     }
 
     /** Returns the order in effect for each key; its payload is null for removed keys. */
-    Map<Order.Key, Acting> acting() {
-        Map<Order.Key, Acting> all = new LinkedHashMap<>();
-        slots.forEach((key, slot) -> all.put(key, SlotRule.acting(slot)));
+    Map<Order.Key, EffectiveOrder> effectiveOrders() {
+        Map<Order.Key, EffectiveOrder> all = new LinkedHashMap<>();
+        slots.forEach((key, slot) -> all.put(key, SlotMerge.effectiveOrder(slot)));
         return all;
     }
 
@@ -132,7 +132,7 @@
     }
 
     /** Returns the keys whose slots have changed since the last call, to be reported to the owner. */
-    List<Order.Key> takeUntold() {
+    List<Order.Key> takeUnnotified() {
         List<Order.Key> changed = List.copyOf(unnotified);
         unnotified.clear();
         return changed;
@@ -140,7 +140,7 @@
 
     private void put(Slot slot) {
         slots.put(slot.key(), slot);
-        tree.put(slot.key(), keyHash(slot.key()), SlotRule.hash(slot));
+        tree.put(slot.key(), keyHash(slot.key()), SlotMerge.hash(slot));
         unsaved.add(slot.key());
         unnotified.add(slot.key());
     }
@@ -154,6 +154,6 @@
     }
 
     private static long keyHash(Order.Key key) {
-        return Shards.hash(key.topic(), key.subject());
+        return KeyHash.hash(key.topic(), key.subject());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/MemberSettings.java
+++ b/fleet/src/main/java/walkpost/fleet/member/MemberSettings.java
@@ -2,7 +2,7 @@
 
 /**
  * The times and numbers of the membership, in microseconds where they are times. The names in brackets are those of the Lifeguard
- * paper (Dadgar, Phillips, Currey 2018), whose values {@link #usual} has but for the shorter period.
+ * paper (Dadgar, Phillips, Currey 2018), whose values {@link #defaults} has but for the shorter period.
  *
  * @param periodUs one other member is pinged each period (1 ms or more)
  * @param pingFloorUs the least that a ping's acknowledgement is waited for, however short the measured round trips are: half of it is
@@ -48,7 +48,7 @@
     }
 
     /** Returns what the fleet runs with: a member in 500 ms, dead names for an hour, 1,000 of them at the most. */
-    public static MemberSettings usual() {
+    public static MemberSettings defaults() {
         return new MemberSettings(SECOND / 2, SECOND / 5, 3, 4, 3, 5, 6, 3, 8, 30 * SECOND, 15 * SECOND, SECOND, SECOND, 3_600 * SECOND,
                 1_000, 1_000);
     }
--- a/fleet/src/main/java/walkpost/fleet/member/Membership.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Membership.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import walkpost.fleet.Machine;
+import walkpost.fleet.StateMachine;
 import walkpost.fleet.member.MembershipFigures.Drop;
 import walkpost.fleet.member.Tally.Of;
 
@@ -24,7 +24,7 @@
  * {@link RoundTrips}, {@link Contacts} the exchanges, {@link Strangers} who must speak for itself first. This class owns them all and
  * tells them what happens; its owner calls it from one thread at a time.
  */
-public final class Membership implements Machine<MemberEvent, MemberAction> {
+public final class Membership implements StateMachine<MemberEvent, MemberAction> {
     private static final long NEVER = Long.MIN_VALUE;
     private final MemberSettings settings;
     private final Identity self;
--- a/fleet/src/main/java/walkpost/fleet/observe/Attached.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Attached.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.copy.Sizes;
 import walkpost.fleet.copy.Slot;
 
 /**
@@ -129,7 +129,7 @@
             observers.values().forEach(observing -> observing.equal = false);
             return;
         }
-        for (List<Slot> part : Sizes.parts(slots, Sizes::of)) {
+        for (List<Slot> part : MessageSizes.split(slots, MessageSizes::bytesOf)) {
             long number = ++numbers;
             List<Order.Key> keys = part.stream().map(Slot::key).toList();
             var message = new ObserveMessage.Push(number, awayUs, part);
--- a/fleet/src/main/java/walkpost/fleet/observe/Comparing.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Comparing.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import walkpost.fleet.copy.CopyMessage.SlotStamp;
 import walkpost.fleet.copy.HashTree;
+import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.copy.Sizes;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.Slot;
-import walkpost.fleet.copy.SlotRule;
+import walkpost.fleet.copy.SlotMerge;
 
 /** What a voter answers to observers that compare themselves with it. Reads the table and keeps nothing of a comparison. */
 final class Comparing {
@@ -58,9 +58,9 @@
                 }
             }
         }
-        List<SlotStamp> stamps = new ArrayList<>();
-        differing.forEach(leaf -> table.tree().entries(leaf).forEach((key, hash) -> stamps.add(new SlotStamp(key, hash))));
-        List<List<SlotStamp>> parts = Sizes.parts(stamps, stamp -> 32 + Sizes.of(stamp.key()));
+        List<ShardMessage.SlotDigest> stamps = new ArrayList<>();
+        differing.forEach(leaf -> table.tree().entries(leaf).forEach((key, hash) -> stamps.add(new ShardMessage.SlotDigest(key, hash))));
+        List<List<ShardMessage.SlotDigest>> parts = MessageSizes.split(stamps, stamp -> 32 + MessageSizes.bytesOf(stamp.key()));
         if (parts.isEmpty()) {
             parts.add(List.of());
         }
@@ -73,9 +73,9 @@
     void want(String from, ObserveMessage.Want asked, long awayUs, Send send) {
         List<Slot> slots = new ArrayList<>();
         for (Order.Key key : asked.keys().subList(0, Math.min(MOST_KEYS, asked.keys().size()))) {
-            slots.addAll(SlotRule.parts(table.slot(key), null));
+            slots.addAll(SlotMerge.split(table.slot(key), null));
         }
-        Sizes.parts(slots, Sizes::of).forEach(part -> send.to(from, new ObserveMessage.Slots(asked.seq(), awayUs, part)));
+        MessageSizes.split(slots, MessageSizes::bytesOf).forEach(part -> send.to(from, new ObserveMessage.Slots(asked.seq(), awayUs, part)));
     }
 
     /** Returns those offered slots that hold more than this voter's; where it is the voter's that hold more, the observer gets them. */
@@ -86,11 +86,11 @@
             counts.count(old ? "offers.refused_old" : "offers.refused_many");
             return List.of();
         }
-        Set<Slot> more = offer.slots().stream().filter(slot -> !SlotRule.join(table.slot(slot.key()), slot).equals(table.slot(slot.key())))
+        Set<Slot> more = offer.slots().stream().filter(slot -> !SlotMerge.join(table.slot(slot.key()), slot).equals(table.slot(slot.key())))
                 .collect(Collectors.toSet());
-        List<Slot> less = offer.slots().stream().map(slot -> SlotRule.join(table.slot(slot.key()), slot))
+        List<Slot> less = offer.slots().stream().map(slot -> SlotMerge.join(table.slot(slot.key()), slot))
                 .filter(joined -> offer.slots().stream().noneMatch(slot -> slot.equals(joined))).toList();
-        Sizes.parts(less, Sizes::of).forEach(part -> send.to(from, new ObserveMessage.Slots(0, awayUs, part)));
+        MessageSizes.split(less, MessageSizes::bytesOf).forEach(part -> send.to(from, new ObserveMessage.Slots(0, awayUs, part)));
         return List.copyOf(more);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Comparison.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Comparison.java
@@ -9,10 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import walkpost.fleet.copy.CopyMessage.SlotStamp;
 import walkpost.fleet.copy.HashTree;
+import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.copy.Sizes;
 import walkpost.fleet.copy.Slot;
 
 /**
@@ -85,7 +84,7 @@
      *     it has acted on nothing of it: the voter's slots are taken in place of its own
      */
     boolean stamps(long nowUs, String from, ObserveMessage.Stamps stamps, long awayUs, Send send) {
-        if (!from.equals(with) || stamps.seq() != seq || !Sizes.part(stamps.part(), stamps.parts())) {
+        if (!from.equals(with) || stamps.seq() != seq || !MessageSizes.isValidPart(stamps.part(), stamps.parts())) {
             return false;
         }
         movedUs = nowUs;
@@ -134,7 +133,7 @@
 
     /** What goes beyond the voter's slot, once that is joined into the one here, is offered in turn. */
     void more(String to, long awayUs, List<Slot> joined, Send send) {
-        Sizes.parts(joined, Sizes::of).forEach(part -> send.to(to, new ObserveMessage.Offer(awayUs, part)));
+        MessageSizes.split(joined, MessageSizes::bytesOf).forEach(part -> send.to(to, new ObserveMessage.Offer(awayUs, part)));
     }
 
     private boolean next(long nowUs, Send send) {
@@ -155,7 +154,7 @@
     private void offer(long awayUs, Send send) {
         List<Slot> more = more();
         if (!more.isEmpty()) {
-            List<List<Slot>> all = Sizes.parts(more, Sizes::of);
+            List<List<Slot>> all = MessageSizes.split(more, MessageSizes::bytesOf);
             send.to(with, new ObserveMessage.Offer(awayUs, all.get((int) Math.floorMod(seed + seq, (long) all.size()))));
             counts.count("offers");
         }
--- a/fleet/src/main/java/walkpost/fleet/observe/Feed.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Feed.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import walkpost.fleet.Machine;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.StateMachine;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.copy.Sizes;
 import walkpost.fleet.copy.Slot;
 
 /**
@@ -19,7 +19,7 @@
  *
  * <p>Readers are to be called by whoever may call {@link #handle}, under the same lock; what they return stays as it is.
  */
-public final class Feed implements Machine<FeedEvent, FeedAction> {
+public final class Feed implements StateMachine<FeedEvent, FeedAction> {
     /** A step of the clock that is no mere slowness. */
     private static final long GAP_US = 1_000_000;
     /** Operators' questions that are answered in a second. */
@@ -78,11 +78,11 @@
             receive(nowUs, received.from(), received.message(), send, actions);
         } else if (event instanceof FeedEvent.Asked asked) {
             if (questions.take(nowUs, 1)) {
-                facts(nowUs, asked.from(), asked.question(), asked.own(), send);
+                answerEntries(nowUs, asked.from(), asked.question(), asked.own(), send);
             }
         } else if (event instanceof FeedEvent.Changed changed) {
             changed(nowUs, changed.slots(), send);
-        } else if (event instanceof FeedEvent.Level now) {
+        } else if (event instanceof FeedEvent.CaughtUpChanged now) {
             levelUs = level ? nowUs : levelUs;
             level = now.level();
         } else if (event instanceof FeedEvent.Voters living) {
@@ -115,13 +115,13 @@
     private void changed(long nowUs, List<Slot> slots, Send send) {
         slots.forEach(slot -> table.put(nowUs, slot));
         // What is forgotten is nobody's news: each forgets removals by itself.
-        attached.push(nowUs, slots.stream().filter(slot -> !slot.none()).toList(), awayUs(nowUs), send);
+        attached.push(nowUs, slots.stream().filter(slot -> !slot.hasNoHistory()).toList(), awayUs(nowUs), send);
     }
 
     private void receive(long nowUs, String from, ObserveMessage message, Send send, Consumer<FeedAction> actions) {
-        if (message instanceof ObserveMessage.AskFacts asked) {
+        if (message instanceof ObserveMessage.AskEntries asked) {
             if (questions.take(nowUs, 1)) {
-                facts(nowUs, from, asked, List.of(), send);
+                answerEntries(nowUs, from, asked, List.of(), send);
             }
         } else if (message instanceof ObserveMessage.AskHeld asked) {
             if (questions.take(nowUs, 1)) {
@@ -175,17 +175,17 @@
         }
     }
 
-    private void facts(long nowUs, String from, ObserveMessage.AskFacts asked, List<Fact> own, Send send) {
-        List<Fact> all = new ArrayList<>(own);
+    private void answerEntries(long nowUs, String from, ObserveMessage.AskEntries asked, List<Entry> own, Send send) {
+        List<Entry> all = new ArrayList<>(own);
         if (asked.topic() != null) {
             all.addAll(reports.on(asked.topic(), nowUs));
         }
-        List<List<Fact>> parts = Sizes.parts(all, Sizes::of);
+        List<List<Entry>> parts = MessageSizes.split(all, MessageSizes::bytesOf);
         if (parts.isEmpty()) {
             parts.add(List.of());
         }
         for (int part = 0; part < parts.size(); part++) {
-            send.to(from, new ObserveMessage.Facts(asked.seq(), part, parts.size(), parts.get(part)));
+            send.to(from, new ObserveMessage.Entries(asked.seq(), part, parts.size(), parts.get(part)));
         }
     }
 
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Set;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
 
@@ -23,7 +23,7 @@
     record Received(String from, ObserveMessage message) implements FeedEvent { }
 
     /** A member asks for facts; {@code own} are those on that topic that this voter has written itself, their ages counted to now. */
-    record Asked(String from, ObserveMessage.AskFacts question, List<Fact> own) implements FeedEvent {
+    record Asked(String from, ObserveMessage.AskEntries question, List<Entry> own) implements FeedEvent {
         public Asked {
             own = List.copyOf(own);
         }
@@ -37,7 +37,7 @@
     }
 
     /** Whether all shards of this voter are level now. */
-    record Level(boolean level) implements FeedEvent { }
+    record CaughtUpChanged(boolean level) implements FeedEvent { }
 
     /** An observer's order, handed to the shards by {@link FeedAction.Propose}, is acknowledged. */
     record Acknowledged(String id, Order order) implements FeedEvent { }
--- a/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.copy.Sizes;
 
 /**
  * What operators ask of all voters at once, fetched only then: owns the questions that are open. Any member may ask, voters among them
@@ -21,10 +21,10 @@
 public final class Inquiries {
     /** A question is answered with what has come by then, the voters that have not answered named. */
     private static final long PATIENCE_US = 1_000_000;
-    private static final Comparator<Fact> NEWER = Comparator.comparingLong(Fact::incarnation).thenComparingLong(Fact::version);
+    private static final Comparator<Entry> NEWER = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
     /** What the voters have answered, those that did not in time named. */
-    public record FactsFound(List<Fact> facts, List<String> silent) { }
+    public record EntriesFound(List<Entry> facts, List<String> silent) { }
 
     /** By how many an order is held, of how many; names of some that lack it; the voters that did not answer. */
     public record Coverage(int held, int of, List<String> lacking, List<String> silent) { }
@@ -34,7 +34,7 @@
         private final long untilUs;
         private final TreeSet<String> silent;
         private final Map<String, BitSet> parts = new TreeMap<>();
-        private final Map<Fact.Key, Fact> found = new LinkedHashMap<>();
+        private final Map<Entry.Key, Entry> found = new LinkedHashMap<>();
         private final TreeSet<String> lacking = new TreeSet<>();
         private int held;
         private int of;
@@ -50,9 +50,9 @@
     private long numbers;
 
     /** Asks which facts on a topic were reported; {@code send} gets whom to ask and the message. Returns the question's number. */
-    public long askFacts(long nowUs, String topic, Collection<String> voters, BiConsumer<String, ObserveMessage> send) {
+    public long askEntries(long nowUs, String topic, Collection<String> voters, BiConsumer<String, ObserveMessage> send) {
         open.put(++numbers, new Question(true, nowUs, voters));
-        voters.forEach(to -> send.accept(to, new ObserveMessage.AskFacts(numbers, topic)));
+        voters.forEach(to -> send.accept(to, new ObserveMessage.AskEntries(numbers, topic)));
         return numbers;
     }
 
@@ -65,10 +65,10 @@
 
     /** Takes an answer from a voter; anything else is passed over. */
     public void received(long nowUs, String from, ObserveMessage message) {
-        if (message instanceof ObserveMessage.Facts answer) {
+        if (message instanceof ObserveMessage.Entries answer) {
             Question question = open.get(answer.seq());
             if (question == null || !question.facts || !question.silent.contains(from)
-                    || !Sizes.part(answer.part(), answer.parts())) {
+                    || !MessageSizes.isValidPart(answer.part(), answer.parts())) {
                 return;
             }
             answer.facts().forEach(fact -> question.found.merge(fact.key(), fact, (a, b) -> NEWER.compare(a, b) >= 0 ? a : b));
@@ -88,7 +88,7 @@
     }
 
     /** Hands over what is answered by all, or has waited for a second. */
-    public void done(long nowUs, BiConsumer<Long, FactsFound> facts, BiConsumer<Long, Coverage> held) {
+    public void done(long nowUs, BiConsumer<Long, Inquiries.EntriesFound> facts, BiConsumer<Long, Coverage> held) {
         for (Map.Entry<Long, Question> each : List.copyOf(open.entrySet())) {
             Question question = each.getValue();
             if (!question.silent.isEmpty() && nowUs < question.untilUs) {
@@ -96,7 +96,7 @@
             }
             open.remove(each.getKey());
             if (question.facts) {
-                facts.accept(each.getKey(), new FactsFound(new ArrayList<>(question.found.values()), List.copyOf(question.silent)));
+                facts.accept(each.getKey(), new Inquiries.EntriesFound(new ArrayList<>(question.found.values()), List.copyOf(question.silent)));
             } else {
                 held.accept(each.getKey(), new Coverage(question.held, question.of, List.copyOf(question.lacking),
                         List.copyOf(question.silent)));
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import walkpost.fleet.copy.CopyMessage.SlotStamp;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.Slot;
 
 /**
@@ -32,8 +32,8 @@
     @JsonSubTypes.Type(value = ObserveMessage.Call.class, name = "c"),
     @JsonSubTypes.Type(value = ObserveMessage.Answer.class, name = "cy"),
     @JsonSubTypes.Type(value = ObserveMessage.Report.class, name = "r"),
-    @JsonSubTypes.Type(value = ObserveMessage.AskFacts.class, name = "qf"),
-    @JsonSubTypes.Type(value = ObserveMessage.Facts.class, name = "af"),
+    @JsonSubTypes.Type(value = ObserveMessage.AskEntries.class, name = "qf"),
+    @JsonSubTypes.Type(value = ObserveMessage.Entries.class, name = "af"),
     @JsonSubTypes.Type(value = ObserveMessage.AskHeld.class, name = "qh"),
     @JsonSubTypes.Type(value = ObserveMessage.Held.class, name = "ah"),
     @JsonSubTypes.Type(value = ObserveMessage.Sum.class, name = "u")
@@ -89,7 +89,7 @@
     }
 
     /** What stands at the voter in leaves that differ; one of so many parts. {@code leaves} are the differing ones, by number. */
-    record Stamps(long seq, int part, int parts, int[] leaves, List<SlotStamp> stamps) implements ObserveMessage {
+    record Stamps(long seq, int part, int parts, int[] leaves, List<ShardMessage.SlotDigest> stamps) implements ObserveMessage {
         public Stamps {
             Objects.requireNonNull(leaves, "leaves");
             stamps = List.copyOf(stamps);
@@ -154,18 +154,18 @@
     }
 
     /** Facts that the observer wrote, their ages counted to the sending. */
-    record Report(List<Fact> facts) implements ObserveMessage {
+    record Report(List<Entry> facts) implements ObserveMessage {
         public Report {
             facts = List.copyOf(facts);
         }
     }
 
     /** Which facts on a topic were reported to the voter asked? */
-    record AskFacts(long seq, String topic) implements ObserveMessage { }
+    record AskEntries(long seq, String topic) implements ObserveMessage { }
 
     /** Those facts, their ages counted to the sending; one of so many parts. */
-    record Facts(long seq, int part, int parts, List<Fact> facts) implements ObserveMessage {
-        public Facts {
+    record Entries(long seq, int part, int parts, List<Entry> facts) implements ObserveMessage {
+        public Entries {
             facts = List.copyOf(facts);
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveSettings.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveSettings.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns what {@code docs/fleet.md} says. */
-    public static ObserveSettings usual() {
+    public static ObserveSettings defaults() {
         return new ObserveSettings(2 * SECOND, 5 * SECOND, 400 * MS, 2_400 * MS, 500 * MS, 4 * SECOND, 60 * SECOND, 300, 60,
                 24 * 3600 * SECOND);
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/Observer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Observer.java
@@ -10,11 +10,11 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import walkpost.fleet.Machine;
-import walkpost.fleet.copy.Acting;
+import walkpost.fleet.StateMachine;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
-import walkpost.fleet.copy.SlotRule;
+import walkpost.fleet.copy.SlotMerge;
 import walkpost.fleet.member.Life;
 
 /**
@@ -27,7 +27,7 @@
  *
  * <p>Readers are to be called by whoever may call {@link #handle}, under the same lock; what they return stays as it is.
  */
-public final class Observer implements Machine<ObserverEvent, ObserverAction> {
+public final class Observer implements StateMachine<ObserverEvent, ObserverAction> {
     /** The age of a copy that never was level: huge, and small enough for sums. */
     public static final long NEVER_US = Long.MAX_VALUE / 4;
     /** A step of the clock that is no mere slowness. */
@@ -40,8 +40,8 @@
     private final Feeds feeds;
     private final Comparison comparison;
     private final Calls calls;
-    private final OwnFacts facts;
-    private final Map<Order.Key, Acting> told = new HashMap<>();
+    private final OwnEntries facts;
+    private final Map<Order.Key, EffectiveOrder> told = new HashMap<>();
     private final Set<Order.Key> untold = new LinkedHashSet<>();
     private Map<String, Integer> lives = Map.of();
     /** Whether the copy was once equal to a level voter's: then what it holds may be acted on. */
@@ -68,7 +68,7 @@
         feeds = new Feeds(settings, self.name(), region, counts, random);
         comparison = new Comparison(table, counts, seed);
         calls = new Calls(settings, self, counts);
-        facts = new OwnFacts(self, counts);
+        facts = new OwnEntries(self, counts);
     }
 
     @Override
@@ -85,8 +85,8 @@
             } else {
                 counts.count("dropped.no_voter");
             }
-        } else if (event instanceof ObserverEvent.Tell tell) {
-            facts.tell(nowUs, tell.topic(), tell.subject(), tell.payload());
+        } else if (event instanceof ObserverEvent.WriteEntry tell) {
+            facts.write(nowUs, tell.topic(), tell.subject(), tell.payload());
         } else if (event instanceof ObserverEvent.Propose propose) {
             calls.propose(nowUs, propose);
             calls.tick(nowUs, feeds.inTurn(), controlAgeUs(nowUs), send, actions);
@@ -95,7 +95,7 @@
     }
 
     /** Returns whether this copy was found equal to a level voter's, and no silence since has put that in doubt. */
-    public boolean level() {
+    public boolean isCaughtUp() {
         return level;
     }
 
@@ -105,8 +105,8 @@
     }
 
     /** Returns what stands, by key; removals that are remembered are among them, with no payload. */
-    public Map<Order.Key, Acting> acting() {
-        return table.acting();
+    public Map<Order.Key, EffectiveOrder> effectiveOrders() {
+        return table.effectiveOrders();
     }
 
     /** Returns the voters that feed this observer now, the one that counts it first. */
@@ -202,8 +202,8 @@
             changed |= join(nowUs, slot);
             Slot joined = table.slot(slot.key());
             // Where nothing stands on either side, each forgets that by itself; but a removal ends what stands at the voter.
-            boolean nothing = SlotRule.removed(slot) && SlotRule.removed(joined);
-            if (!slot.none() && !nothing && !joined.equals(SlotRule.join(slot, slot))) {
+            boolean nothing = SlotMerge.isRemoved(slot) && SlotMerge.isRemoved(joined);
+            if (!slot.hasNoHistory() && !nothing && !joined.equals(SlotMerge.join(slot, slot))) {
                 more.add(joined);
             }
         }
@@ -231,7 +231,7 @@
         if (now != level) {
             level = now;
             counts.count(now ? "level.reached" : "level.lost");
-            actions.accept(new ObserverAction.Level(now));
+            actions.accept(new ObserverAction.CaughtUpChanged(now));
             if (!now && !lives.isEmpty()) {
                 lives = Map.of();
                 actions.accept(new ObserverAction.Lives(lives));
@@ -241,16 +241,16 @@
 
     private void tellOrders(Consumer<ObserverAction> actions) {
         for (Order.Key key : untold) {
-            Acting acting = SlotRule.acting(table.slot(key));
-            Acting before = told.get(key);
+            EffectiveOrder acting = SlotMerge.effectiveOrder(table.slot(key));
+            EffectiveOrder before = told.get(key);
             if (acting.chosen() == null) {
                 told.remove(key);
                 if (before != null && before.payload() != null) {
-                    actions.accept(new ObserverAction.Stands(key, acting));
+                    actions.accept(new ObserverAction.EffectiveOrderChanged(key, acting));
                 }
             } else if (!acting.equals(before)) {
                 told.put(key, acting);
-                actions.accept(new ObserverAction.Stands(key, acting));
+                actions.accept(new ObserverAction.EffectiveOrderChanged(key, acting));
             }
         }
         untold.clear();
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverEvent.java
@@ -2,6 +2,7 @@
 
 import java.util.Map;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardEvent;
 
 /** Something that happened to an {@link Observer}. */
 public sealed interface ObserverEvent {
@@ -19,8 +20,8 @@
     record Received(String from, ObserveMessage message) implements ObserverEvent { }
 
     /** This member, the writer, has seen something; a null payload withdraws it. */
-    record Tell(String topic, String subject, String payload) implements ObserverEvent { }
+    record WriteEntry(String topic, String subject, String payload) implements ObserverEvent { }
 
-    /** An operator's order to this member, as in {@link walkpost.fleet.copy.CopyEvent.Propose}. */
+    /** An operator's order to this member, as in {@link walkpost.fleet.copy.ShardEvent.Propose}. */
     record Propose(Order.Key key, String id, String replaces, String payload) implements ObserverEvent { }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/OwnFacts.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
@@ -5,12 +5,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import walkpost.fleet.copy.Fact;
-import walkpost.fleet.copy.Sizes;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.member.Life;
 
 /** What this observer has told of itself: owns its facts, and reports them to its feeds, which keep them for whoever asks. */
-final class OwnFacts {
+final class OwnEntries {
     /** So many facts an observer may have told at a time; one more is refused. */
     static final int MOST = 64;
 
@@ -18,18 +18,18 @@
 
     private final Life self;
     private final Counts counts;
-    private final Map<Fact.Key, Told> facts = new LinkedHashMap<>();
-    private final Map<Fact.Key, Told> news = new LinkedHashMap<>();
+    private final Map<Entry.Key, Told> facts = new LinkedHashMap<>();
+    private final Map<Entry.Key, Told> news = new LinkedHashMap<>();
     private long version;
 
-    OwnFacts(Life self, Counts counts) {
+    OwnEntries(Life self, Counts counts) {
         this.self = self;
         this.counts = counts;
     }
 
-    void tell(long nowUs, String topic, String subject, String payload) {
-        var key = new Fact.Key(topic, subject, self.name());
-        if (Sizes.utf8(topic) > Sizes.TOPIC || Sizes.utf8(subject) > Sizes.SUBJECT || Sizes.utf8(payload) > Sizes.FACT
+    void write(long nowUs, String topic, String subject, String payload) {
+        var key = new Entry.Key(topic, subject, self.name());
+        if (MessageSizes.utf8Length(topic) > MessageSizes.TOPIC || MessageSizes.utf8Length(subject) > MessageSizes.SUBJECT || MessageSizes.utf8Length(payload) > MessageSizes.FACT
                 || !facts.containsKey(key) && facts.size() >= MOST) {
             counts.count("facts.refused");
             return;
@@ -55,11 +55,11 @@
         report(nowUs, to, facts, ways, send);
     }
 
-    private void report(long nowUs, String to, Map<Fact.Key, Told> told, Feeds ways, Send send) {
-        List<Fact> all = new ArrayList<>();
+    private void report(long nowUs, String to, Map<Entry.Key, Told> told, Feeds ways, Send send) {
+        List<Entry> all = new ArrayList<>();
         // The way counts as well, by its round trip: an age is never too low.
-        told.forEach((key, fact) -> all.add(new Fact(key, self.incarnation(), fact.version, fact.payload,
+        told.forEach((key, fact) -> all.add(new Entry(key, self.incarnation(), fact.version, fact.payload,
                 nowUs - fact.seenUs + ways.roundTripUs(to))));
-        Sizes.parts(all, Sizes::of).forEach(part -> send.to(to, new ObserveMessage.Report(part)));
+        MessageSizes.split(all, MessageSizes::bytesOf).forEach(part -> send.to(to, new ObserveMessage.Report(part)));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Proxied.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Proxied.java
@@ -82,7 +82,7 @@
         // Of these another voter, or this one a moment later, may well make something; what the order is about has not changed.
         boolean again = why instanceof FleetException.NotLevel || why instanceof FleetException.NoMajority
                 || why instanceof FleetException.Uncertain || why instanceof FleetException.BadDirectory
-                || why instanceof FleetException.Busy busy && busy.itself();
+                || why instanceof FleetException.Busy busy && busy.isSameOrder();
         end(nowUs, id, answer(id, why, again), send);
     }
 
@@ -120,6 +120,6 @@
     }
 
     private static ObserveMessage.Answer answer(String id, FleetException why, boolean again) {
-        return new ObserveMessage.Answer(id, 0, 0, null, why.getClass().getSimpleName(), why.what(), why.remedy(), again);
+        return new ObserveMessage.Answer(id, 0, 0, null, why.getClass().getSimpleName(), why.problem(), why.remedy(), again);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Reports.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Reports.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import walkpost.fleet.copy.Fact;
-import walkpost.fleet.copy.Sizes;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.MessageSizes;
 
 /**
  * What observers have reported to this voter: owns these facts, for those who ask. They are passed on to nobody. A writer's are bounded in
@@ -15,31 +15,31 @@
 final class Reports {
     /** For how long what a writer that has gone said is kept, so that operators still see it. */
     private static final long GONE_US = 60_000_000;
-    private static final Comparator<Fact> NEWER = Comparator.comparingLong(Fact::incarnation).thenComparingLong(Fact::version);
+    private static final Comparator<Entry> NEWER = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
-    private record Entry(Fact fact, long seenUs) { }
+    private record ReportedEntry(Entry fact, long seenUs) { }
 
     private final Counts counts;
-    private final Map<String, Map<Fact.Key, Entry>> byWriter = new LinkedHashMap<>();
+    private final Map<String, Map<Entry.Key, Reports.ReportedEntry>> byWriter = new LinkedHashMap<>();
 
     Reports(Counts counts) {
         this.counts = counts;
     }
 
-    void take(long nowUs, String from, List<Fact> facts) {
-        for (Fact fact : facts) {
+    void take(long nowUs, String from, List<Entry> facts) {
+        for (Entry fact : facts) {
             boolean wrong = !fact.key().writer().equals(from) || fact.ageUs() < 0 || fact.ageUs() > Observer.NEVER_US
-                    || Sizes.utf8(fact.payload()) > Sizes.FACT;
-            Map<Fact.Key, Entry> own = wrong ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
-            if (wrong || !own.containsKey(fact.key()) && own.size() >= OwnFacts.MOST) {
+                    || MessageSizes.utf8Length(fact.payload()) > MessageSizes.FACT;
+            Map<Entry.Key, Reports.ReportedEntry> own = wrong ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
+            if (wrong || !own.containsKey(fact.key()) && own.size() >= OwnEntries.MOST) {
                 counts.count("facts.refused");
                 continue;
             }
-            Entry known = own.get(fact.key());
+            Reports.ReportedEntry known = own.get(fact.key());
             if (known == null || NEWER.compare(fact, known.fact) > 0) {
                 // A new life withdraws what the one before said.
                 own.values().removeIf(entry -> entry.fact.incarnation() < fact.incarnation());
-                own.put(fact.key(), new Entry(fact, nowUs - fact.ageUs()));
+                own.put(fact.key(), new Reports.ReportedEntry(fact, nowUs - fact.ageUs()));
                 counts.count("facts.reported");
             }
         }
@@ -54,12 +54,12 @@
     }
 
     /** Returns what is on a topic and not withdrawn, ages counted to now. */
-    List<Fact> on(String topic, long nowUs) {
-        List<Fact> found = new ArrayList<>();
+    List<Entry> on(String topic, long nowUs) {
+        List<Entry> found = new ArrayList<>();
         byWriter.values().forEach(own -> own.values().forEach(entry -> {
-            Fact fact = entry.fact;
+            Entry fact = entry.fact;
             if (fact.key().topic().equals(topic) && fact.payload() != null) {
-                found.add(new Fact(fact.key(), fact.incarnation(), fact.version(), fact.payload(), nowUs - entry.seenUs));
+                found.add(new Entry(fact.key(), fact.incarnation(), fact.version(), fact.payload(), nowUs - entry.seenUs));
             }
         }));
         return found;
--- a/fleet/src/main/java/walkpost/fleet/observe/SlotTable.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotTable.java
@@ -5,12 +5,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import walkpost.fleet.copy.Acting;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.HashTree;
+import walkpost.fleet.copy.KeyHash;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.copy.Shards;
 import walkpost.fleet.copy.Slot;
-import walkpost.fleet.copy.SlotRule;
+import walkpost.fleet.copy.SlotMerge;
 
 /**
  * The slots of all shards in one place, and the tree of hashes by which an observer and a voter compare them. Owns both.
@@ -43,7 +43,7 @@
     /** Joins another copy's slot into this one's; returns whether that has changed anything here. Nothing ever goes back. */
     boolean join(long nowUs, Slot other) {
         Slot mine = slot(other.key());
-        Slot joined = SlotRule.join(mine, other);
+        Slot joined = SlotMerge.join(mine, other);
         if (joined.equals(mine)) {
             return false;
         }
@@ -54,16 +54,16 @@
     /** Takes a slot as it is; an empty one is dropped. */
     void put(long nowUs, Slot slot) {
         Order.Key key = slot.key();
-        if (slot.none()) {
+        if (slot.hasNoHistory()) {
             drop(key);
             return;
         }
         slots.put(key, slot);
-        if (SlotRule.removed(slot)) {
+        if (SlotMerge.isRemoved(slot)) {
             tree.remove(key, hashOf(key));
             removedUs.putIfAbsent(key, nowUs);
         } else {
-            tree.put(key, hashOf(key), SlotRule.hash(slot));
+            tree.put(key, hashOf(key), SlotMerge.hash(slot));
             removedUs.remove(key);
         }
     }
@@ -93,13 +93,13 @@
         return keys;
     }
 
-    Map<Order.Key, Acting> acting() {
-        Map<Order.Key, Acting> all = new LinkedHashMap<>();
-        slots.forEach((key, slot) -> all.put(key, SlotRule.acting(slot)));
+    Map<Order.Key, EffectiveOrder> effectiveOrders() {
+        Map<Order.Key, EffectiveOrder> all = new LinkedHashMap<>();
+        slots.forEach((key, slot) -> all.put(key, SlotMerge.effectiveOrder(slot)));
         return all;
     }
 
     private static long hashOf(Order.Key key) {
-        return Shards.hash(key.topic(), key.subject());
+        return KeyHash.hash(key.topic(), key.subject());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/VoterChoice.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/VoterChoice.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import walkpost.fleet.copy.Shards;
+import walkpost.fleet.copy.KeyHash;
 
 /**
  * Which two voters feed an observer: a near one first, and one of another region beside it, where there is one. Among voters that are
@@ -49,7 +49,7 @@
     }
 
     private static String heaviest(String observer, List<String> among) {
-        return among.stream().max(Comparator.<String>comparingLong(name -> Shards.hash(observer, name))
+        return among.stream().max(Comparator.<String>comparingLong(name -> KeyHash.hash(observer, name))
                 .thenComparing(Comparator.naturalOrder())).orElse(null);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/shell/Desk.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Desk.java
@@ -17,7 +17,7 @@
     private final BiConsumer<String, ObserveMessage> sender;
     /** Guarded by this object, as are the next three. */
     private final Inquiries inquiries = new Inquiries();
-    private final Map<Long, CompletableFuture<FactsHeard>> facts = new HashMap<>();
+    private final Map<Long, CompletableFuture<TopicEntries>> facts = new HashMap<>();
     private final Map<Long, CompletableFuture<Coverage>> held = new HashMap<>();
     private boolean ended;
 
@@ -28,14 +28,14 @@
         this.sender = sender;
     }
 
-    CompletableFuture<FactsHeard> facts(String topic) {
-        var answer = new CompletableFuture<FactsHeard>();
+    CompletableFuture<TopicEntries> entries(String topic) {
+        var answer = new CompletableFuture<TopicEntries>();
         var out = new ArrayList<Runnable>();
         synchronized (this) {
             if (ended) {
-                return CompletableFuture.completedFuture(new FactsHeard(List.of(), voters));
+                return CompletableFuture.completedFuture(new TopicEntries(List.of(), voters));
             }
-            facts.put(inquiries.askFacts(clock.nowUs(), topic, voters, (to, message) -> out.add(() -> sender.accept(to, message))), answer);
+            facts.put(inquiries.askEntries(clock.nowUs(), topic, voters, (to, message) -> out.add(() -> sender.accept(to, message))), answer);
         }
         out.forEach(Runnable::run);
         return answer;
@@ -56,7 +56,7 @@
 
     /** Returns whether a message is an answer for here. */
     static boolean takes(ObserveMessage message) {
-        return message instanceof ObserveMessage.Facts || message instanceof ObserveMessage.Held;
+        return message instanceof ObserveMessage.Entries || message instanceof ObserveMessage.Held;
     }
 
     void received(String from, ObserveMessage message) {
@@ -74,8 +74,8 @@
                 return;
             }
             inquiries.done(clock.nowUs(), (number, found) -> {
-                CompletableFuture<FactsHeard> asker = facts.remove(number);
-                answers.add(() -> asker.complete(new FactsHeard(found.facts(), found.silent())));
+                CompletableFuture<TopicEntries> asker = facts.remove(number);
+                answers.add(() -> asker.complete(new TopicEntries(found.facts(), found.silent())));
             }, (number, found) -> {
                 CompletableFuture<Coverage> asker = held.remove(number);
                 answers.add(() -> asker.complete(new Coverage(found.held(), found.of(), found.lacking(), found.silent())));
@@ -86,7 +86,7 @@
 
     /** Answers all who wait as if no voter had. */
     void end() {
-        List<CompletableFuture<FactsHeard>> ofFacts;
+        List<CompletableFuture<TopicEntries>> ofFacts;
         List<CompletableFuture<Coverage>> ofHeld;
         synchronized (this) {
             ended = true;
@@ -95,7 +95,7 @@
             facts.clear();
             held.clear();
         }
-        ofFacts.forEach(asker -> asker.complete(new FactsHeard(List.of(), voters)));
+        ofFacts.forEach(asker -> asker.complete(new TopicEntries(List.of(), voters)));
         ofHeld.forEach(asker -> asker.complete(new Coverage(0, 0, List.of(), voters)));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/shell/Envelope.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Envelope.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonInclude;
 import java.util.Objects;
 import java.util.stream.Stream;
-import walkpost.fleet.copy.CopyMessage;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.MemberMessage;
@@ -19,13 +19,13 @@
  * @param shards how many the sender has; with another number keys would lie in other shards
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
-record Envelope(String cluster, Life from, Address at, int shard, int shards, MemberMessage member, CopyMessage copy,
+record Envelope(String cluster, Life from, Address at, int shard, int shards, MemberMessage member, ShardMessage copy,
         ObserveMessage observe) {
     static Envelope of(MemberMessage message, String cluster, Life from, Address at, int shards) {
         return new Envelope(cluster, from, at, 0, shards, message, null, null);
     }
 
-    static Envelope of(CopyMessage message, int shard, String cluster, Life from, Address at, int shards) {
+    static Envelope of(ShardMessage message, int shard, String cluster, Life from, Address at, int shards) {
         return new Envelope(cluster, from, at, shard, shards, null, message, null);
     }
 
--- a/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.observe.Feed;
 import walkpost.fleet.observe.FeedAction;
@@ -27,7 +27,7 @@
         void propose(Order.Key key, String id, String replaces, String payload);
 
         /** Returns the facts on a topic that this voter has written. */
-        List<Fact> own(String topic);
+        List<Entry> own(String topic);
 
         /** Gives decided orders to the shards that they lie in. */
         void offer(List<Slot> slots);
@@ -50,7 +50,7 @@
         this.pool = pool;
         this.sender = sender;
         this.shards = shards;
-        feed = new Feed(ObserveSettings.usual(), self, file.region(), Set.copyOf(voters));
+        feed = new Feed(ObserveSettings.defaults(), self, file.region(), Set.copyOf(voters));
         turns = new Turns<>("feed", feed, new FeedEvent.Tick(), clock, counters, pool, new Turns.Carrier<>() {
             @Override
             public void carryOut(FeedAction action, long waitedUs) {
@@ -90,7 +90,7 @@
     void received(String from, ObserveMessage message, int length) {
         if (Desk.takes(message)) {
             desk.received(from, message);
-        } else if (message instanceof ObserveMessage.AskFacts question && question.topic() != null) {
+        } else if (message instanceof ObserveMessage.AskEntries question && question.topic() != null) {
             asked(from, question, length);
         } else {
             turns.put(waitedUs -> new FeedEvent.Received(from, Ages.aged(message, waitedUs)), length);
@@ -98,10 +98,10 @@
     }
 
     /** Not on the loop: shards may be busy. */
-    private void asked(String from, ObserveMessage.AskFacts question, int length) {
+    private void asked(String from, ObserveMessage.AskEntries question, int length) {
         try {
             pool.execute(() -> {
-                List<Fact> own = shards.own(question.topic());
+                List<Entry> own = shards.own(question.topic());
                 turns.put(waitedUs -> new FeedEvent.Asked(from, question, own), length);
             });
         } catch (RejectedExecutionException e) {
@@ -114,7 +114,7 @@
         desk.tick();
     }
 
-    void peers(CopyEvent.Peers now) {
+    void peers(ShardEvent.LivePeers now) {
         var others = new HashSet<>(now.roundTripUs().keySet());
         others.retainAll(voters);
         turns.put(new FeedEvent.Voters(others));
@@ -126,7 +126,7 @@
     }
 
     void level(boolean level) {
-        turns.put(new FeedEvent.Level(level));
+        turns.put(new FeedEvent.CaughtUpChanged(level));
     }
 
     void acknowledged(String id, Order order) {
@@ -137,8 +137,8 @@
         turns.put(new FeedEvent.Refused(id, why));
     }
 
-    CompletionStage<FactsHeard> facts(String topic) {
-        return desk.facts(topic);
+    CompletionStage<TopicEntries> entries(String topic) {
+        return desk.entries(topic);
     }
 
     CompletionStage<Coverage> held(Order.Key key, String id) {
--- a/fleet/src/main/java/walkpost/fleet/shell/Fleet.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Fleet.java
@@ -19,9 +19,9 @@
 import java.util.function.Predicate;
 import walkpost.fleet.FleetException;
 import walkpost.fleet.FleetException.BadCall;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopySettings;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.Member;
@@ -46,9 +46,9 @@
     private static final int END_S = 2;
 
     /** What a member goes by besides its file. */
-    private record Settings(MemberSettings member, CopySettings copy, Directory.Settings directory, OrderLog.Opener opener) {
+    private record Settings(MemberSettings member, ShardSettings copy, Directory.Settings directory, OrderLog.Opener opener) {
         static Settings usual() {
-            return new Settings(MemberSettings.usual(), CopySettings.usual(), Directory.Settings.USUAL, LogFile::new);
+            return new Settings(MemberSettings.defaults(), ShardSettings.defaults(), Directory.Settings.USUAL, LogFile::new);
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** Opens it with times of the caller's, and files that may fail. */
-    static Fleet open(FleetFile file, MemberSettings memberSettings, CopySettings copySettings, Directory.Settings directorySettings,
+    static Fleet open(FleetFile file, MemberSettings memberSettings, ShardSettings copySettings, Directory.Settings directorySettings,
             OrderLog.Opener opener) throws FleetException {
         return openAlone(file, new Settings(memberSettings, copySettings, directorySettings, opener));
     }
@@ -262,8 +262,8 @@
     }
 
     @Override
-    public void tell(String topic, String subject, String payload) {
-        part.tell(topic, subject, payload);
+    public void writeEntry(String topic, String subject, String payload) {
+        part.writeEntry(topic, subject, payload);
     }
 
     @Override
@@ -290,18 +290,18 @@
     }
 
     @Override
-    public boolean level() {
-        return part.level();
+    public boolean isCaughtUp() {
+        return part.isCaughtUp();
     }
 
     @Override
-    public Map<Order.Key, Acting> orders() {
+    public Map<Order.Key, EffectiveOrder> orders() {
         return part.orders();
     }
 
     @Override
-    public CompletionStage<FactsHeard> facts(String topic) {
-        return part.facts(topic);
+    public CompletionStage<TopicEntries> entries(String topic) {
+        return part.entries(topic);
     }
 
     @Override
--- a/fleet/src/main/java/walkpost/fleet/shell/FleetHandle.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FleetHandle.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
-import walkpost.fleet.copy.Acting;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.member.Member;
 
@@ -17,7 +17,7 @@
     void listen(Executor executor, FleetListener listener);
 
     /** Writes a fact of this member's own; a null payload withdraws it. */
-    void tell(String topic, String subject, String payload);
+    void writeEntry(String topic, String subject, String payload);
 
     /**
      * Gives an order. The stage ends with the acknowledged order or with a {@code FleetException}.
@@ -35,16 +35,16 @@
     List<Member> members();
 
     /** Returns whether this member has caught up, in all shards; an observer, whether it equals a voter that has. */
-    boolean level();
+    boolean isCaughtUp();
 
     /** Returns what stands, by key, as this copy has it. */
-    Map<Order.Key, Acting> orders();
+    Map<Order.Key, EffectiveOrder> orders();
 
     /**
      * Finds the facts of a topic. Where the fleet has voters, all of them are asked at once, and the stage ends a second later at the
      * latest; elsewhere this copy has them all.
      */
-    CompletionStage<FactsHeard> facts(String topic);
+    CompletionStage<TopicEntries> entries(String topic);
 
     /**
      * Finds by how many an order is held, it or what has come after it, within a second. Fails with {@code BadCall} where the fleet has
--- a/fleet/src/main/java/walkpost/fleet/shell/FleetListener.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FleetListener.java
@@ -1,8 +1,8 @@
 package walkpost.fleet.shell;
 
 import java.util.Map;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.member.Member;
 
@@ -15,16 +15,16 @@
     void member(Member member);
 
     /** Another member's fact is new; withdrawn where its payload is null. */
-    void fact(Fact fact);
+    void entryReceived(Entry fact);
 
     /** A fact has grown older than its topic's bound: whatever rests on it is to fall back. */
-    void stale(Fact.Key key);
+    void stale(Entry.Key key);
 
     /** What is to be acted on for a key. Comes only while this member is level; to an observer, once it was level for the first time. */
-    void stands(Order.Key key, Acting acting);
+    void effectiveOrderChanged(Order.Key key, EffectiveOrder acting);
 
     /** This member has caught up, or is not sure of it any more: then what stood last goes on. */
-    void level(boolean level);
+    void caughtUpChanged(boolean level);
 
     /** How many observers live, by region, has changed; empty where that is not known. Comes to observers only. */
     default void lives(Map<String, Integer> byRegion) { }
--- a/fleet/src/main/java/walkpost/fleet/shell/MemberLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/MemberLane.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import walkpost.fleet.copy.CopyEvent;
+import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.Member;
 import walkpost.fleet.member.MemberAction;
@@ -152,14 +152,14 @@
     }
 
     /** Returns who lives, those suspected among them, this member apart, with the round trips to them; on the loop. */
-    CopyEvent.Peers peers() {
+    ShardEvent.LivePeers peers() {
         lock.lock();
         try {
             // Who has been forgotten is no more to be known here either.
             if (told.size() > membership.members().size()) {
                 told.keySet().retainAll(membership.members().stream().map(member -> member.life().name()).toList());
             }
-            return new CopyEvent.Peers(membership.roundTripUs(always));
+            return new ShardEvent.LivePeers(membership.roundTripUs(always));
         } finally {
             lock.unlock();
         }
--- a/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyEvent;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.observe.ObserveMessage;
 import walkpost.fleet.observe.ObserveSettings;
@@ -32,7 +32,7 @@
 
     /** What listeners have been told; guarded by itself, as are the next three. */
     private final List<Outlet> outlets = new ArrayList<>();
-    private final Map<Order.Key, Acting> stood = new LinkedHashMap<>();
+    private final Map<Order.Key, EffectiveOrder> stood = new LinkedHashMap<>();
     private boolean toldLevel;
     private Map<String, Integer> toldLives = Map.of();
 
@@ -44,7 +44,7 @@
         this.counters = counters;
         this.sender = sender;
         this.callers = callers;
-        observer = new Observer(ObserveSettings.usual(), self, file.region(), Set.copyOf(voters), seed);
+        observer = new Observer(ObserveSettings.defaults(), self, file.region(), Set.copyOf(voters), seed);
         turns = new Turns<>("observer", observer, new ObserverEvent.Tick(), clock, counters, pool, new Turns.Carrier<>() {
             @Override
             public void carryOut(ObserverAction action, long waitedUs) {
@@ -66,15 +66,15 @@
             } else {
                 sender.send(send.to(), Ages.aged(send.message(), waitedUs));
             }
-        } else if (action instanceof ObserverAction.Stands stands) {
-            tell(listener -> listener.stands(stands.key(), stands.acting()), () -> {
+        } else if (action instanceof ObserverAction.EffectiveOrderChanged stands) {
+            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.acting()), () -> {
                 if (stands.acting().payload() == null && stands.acting().rivals().isEmpty()) {
                     stood.remove(stands.key());
                 } else {
                     stood.put(stands.key(), stands.acting());
                 }
             });
-        } else if (action instanceof ObserverAction.Level now) {
+        } else if (action instanceof ObserverAction.CaughtUpChanged now) {
             changed(now.level());
         } else if (action instanceof ObserverAction.Lives lives) {
             tell(listener -> listener.lives(lives.byRegion()), () -> toldLives = lives.byRegion());
@@ -97,7 +97,7 @@
         } else {
             Log.warn("control_out_of_reach", "known_ms", controlAgeUs() / 1_000);
         }
-        tell(listener -> listener.level(now), () -> toldLevel = now);
+        tell(listener -> listener.caughtUpChanged(now), () -> toldLevel = now);
     }
 
     private void tellFeeds() {
@@ -120,9 +120,9 @@
         synchronized (outlets) {
             boolean now = toldLevel;
             Map<String, Integer> lives = toldLives;
-            outlet.put(listener -> listener.level(now));
+            outlet.put(listener -> listener.caughtUpChanged(now));
             outlet.put(listener -> listener.lives(lives));
-            stood.forEach((key, acting) -> outlet.put(listener -> listener.stands(key, acting)));
+            stood.forEach((key, acting) -> outlet.put(listener -> listener.effectiveOrderChanged(key, acting)));
             outlets.add(outlet);
         }
     }
@@ -140,14 +140,14 @@
         desk.tick();
     }
 
-    void peers(CopyEvent.Peers now) {
+    void peers(ShardEvent.LivePeers now) {
         var living = new LinkedHashMap<>(now.roundTripUs());
         living.keySet().retainAll(voters);
         turns.put(new ObserverEvent.Voters(living));
     }
 
     void tell(String topic, String subject, String payload) {
-        turns.put(new ObserverEvent.Tell(topic, subject, payload));
+        turns.put(new ObserverEvent.WriteEntry(topic, subject, payload));
     }
 
     void propose(Order.Key key, String id, String replaces, String payload) {
@@ -162,8 +162,8 @@
         return turns.read(observer::controlAgeUs);
     }
 
-    Map<Order.Key, Acting> orders() {
-        return turns.read(nowUs -> Map.copyOf(observer.acting()));
+    Map<Order.Key, EffectiveOrder> orders() {
+        return turns.read(nowUs -> Map.copyOf(observer.effectiveOrders()));
     }
 
     List<String> feeds() {
@@ -178,8 +178,8 @@
         return turns.read(nowUs -> observer.figures());
     }
 
-    CompletionStage<FactsHeard> facts(String topic) {
-        return desk.facts(topic);
+    CompletionStage<TopicEntries> entries(String topic) {
+        return desk.entries(topic);
     }
 
     CompletionStage<Coverage> held(Order.Key key, String id) {
--- a/fleet/src/main/java/walkpost/fleet/shell/ObservingPart.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ObservingPart.java
@@ -7,9 +7,9 @@
 import walkpost.fleet.FleetException;
 import walkpost.fleet.FleetException.NotLevel;
 import walkpost.fleet.FleetException.Uncertain;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyEvent;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.member.Life;
 
 /** An observer: no shards, no directory, no vote. */
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void peers(CopyEvent.Peers now) {
+    public void peers(ShardEvent.LivePeers now) {
         lane.peers(now);
     }
 
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void tell(String topic, String subject, String payload) {
+    public void writeEntry(String topic, String subject, String payload) {
         lane.tell(topic, subject, payload);
     }
 
@@ -81,18 +81,18 @@
     }
 
     @Override
-    public boolean level() {
+    public boolean isCaughtUp() {
         return lane.level();
     }
 
     @Override
-    public Map<Order.Key, Acting> orders() {
+    public Map<Order.Key, EffectiveOrder> orders() {
         return lane.orders();
     }
 
     @Override
-    public CompletionStage<FactsHeard> facts(String topic) {
-        return lane.facts(topic);
+    public CompletionStage<TopicEntries> entries(String topic) {
+        return lane.entries(topic);
     }
 
     @Override
--- a/fleet/src/main/java/walkpost/fleet/shell/OrderLog.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/OrderLog.java
@@ -182,7 +182,7 @@
 
     /** A slot that says nothing any more is one that the copy has forgotten. */
     private static void take(Slot slot, Map<Order.Key, Slot> slots) {
-        if (slot.none()) {
+        if (slot.hasNoHistory()) {
             slots.remove(slot.key());
         } else {
             slots.put(slot.key(), slot);
--- a/fleet/src/main/java/walkpost/fleet/shell/Part.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Part.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletionStage;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyEvent;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardEvent;
 
 /**
  * What a member does about orders and facts: one that votes does other things than one that observes. Chosen when a fleet is opened.
@@ -19,7 +19,7 @@
     void tick();
 
     /** Takes who lives; on the loop. */
-    void peers(CopyEvent.Peers now);
+    void peers(ShardEvent.LivePeers now);
 
     /** Takes a message that is for no membership, of so many bytes, from a member in its present life; on the loop. */
     void received(Envelope envelope, int length);
@@ -28,19 +28,19 @@
     void listen(Outlet outlet);
 
     /** Writes a fact of this member's own; a null payload withdraws it. */
-    void tell(String topic, String subject, String payload);
+    void writeEntry(String topic, String subject, String payload);
 
     /** Gives an order that is complete; see {@link FleetHandle#order}. */
     CompletionStage<Order> order(Order.Key key, String id, String replaces, String payload);
 
     /** Returns whether this member's copy is as good as any. */
-    boolean level();
+    boolean isCaughtUp();
 
     /** Returns what stands, by key. */
-    Map<Order.Key, Acting> orders();
+    Map<Order.Key, EffectiveOrder> orders();
 
-    /** See {@link FleetHandle#facts}. */
-    CompletionStage<FactsHeard> facts(String topic);
+    /** See {@link FleetHandle#entries}. */
+    CompletionStage<TopicEntries> entries(String topic);
 
     /** See {@link FleetHandle#held}. */
     CompletionStage<Coverage> held(Order.Key key, String id);
--- a/fleet/src/main/java/walkpost/fleet/shell/Sender.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Sender.java
@@ -1,6 +1,6 @@
 package walkpost.fleet.shell;
 
-import walkpost.fleet.copy.CopyMessage;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Member;
 import walkpost.fleet.member.MemberMessage;
@@ -39,7 +39,7 @@
     }
 
     /** Sends a message of a shard's to the same shard of a member; it may get lost. */
-    void send(int shard, String to, CopyMessage message) {
+    void send(int shard, String to, ShardMessage message) {
         send(to, Envelope.of(message, shard, file.cluster(), members.self(), address, file.shards()));
     }
 
--- a/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
@@ -15,13 +15,13 @@
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Shard;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardEvent;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.Slot;
 
 /**
@@ -40,7 +40,7 @@
     /** What a lane needs of the fleet; called by a thread of the pool, with no lock held. */
     interface Surroundings {
         /** Sends a message to the same shard of a member. */
-        void send(int shard, String to, CopyMessage message);
+        void send(int shard, String to, ShardMessage message);
 
         /** Slots have changed, and are on disk where there is one. */
         void changed(List<Slot> slots);
@@ -56,10 +56,10 @@
     }
 
     /** Something that waits since then: an event, with the bytes that it came in where it is a message, or else something to do. */
-    private record Item(long atUs, CopyEvent event, int bytes, Runnable task) { }
+    private record Item(long atUs, ShardEvent event, int bytes, Runnable task) { }
 
     /** An action, and when the event that it came from was handled. */
-    private record Due(long atUs, CopyAction action) { }
+    private record Due(long atUs, ShardAction action) { }
 
     private final int number;
     private final Shard shard;
@@ -77,13 +77,13 @@
     private int messages;
     private int bytes;
     private boolean tick;
-    private CopyEvent.Peers peers;
+    private ShardEvent.LivePeers peers;
     private boolean running;
     private boolean over;
 
     /** Who hears of this shard: theirs who has the lane's turn, like the next two. */
     private final List<Outlet> outlets = new ArrayList<>();
-    private final Map<Order.Key, Acting> stood = new LinkedHashMap<>();
+    private final Map<Order.Key, EffectiveOrder> stood = new LinkedHashMap<>();
     private final Set<String> topics = new HashSet<>();
 
     /** @param directory null where orders are in memory only */
@@ -100,12 +100,12 @@
     }
 
     /** Takes an event of this member's own. */
-    void offer(CopyEvent event) {
+    void offer(ShardEvent event) {
         put(new Item(clock.nowUs(), event, 0, null));
     }
 
     /** Takes a message of so many bytes, unless too much waits already. */
-    void offer(CopyEvent.Received message, int length) {
+    void offer(ShardEvent.Received message, int length) {
         put(new Item(clock.nowUs(), message, length, null));
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** Takes who lives; only the latest counts. */
-    void peers(CopyEvent.Peers now) {
+    void peers(ShardEvent.LivePeers now) {
         synchronized (inbox) {
             peers = now;
         }
@@ -170,7 +170,7 @@
         List<Due> due = handled(items);
         Map<Order.Key, Slot> slots = new LinkedHashMap<>();
         for (Due one : due) {
-            if (directory != null && one.action instanceof CopyAction.Persist persist) {
+            if (directory != null && one.action instanceof ShardAction.Persist persist) {
                 persist.slots().forEach(slot -> slots.put(slot.key(), slot));
             }
         }
@@ -222,7 +222,7 @@
                 peers = null;
             }
             if (tick) {
-                items.add(new Item(clock.nowUs(), new CopyEvent.Tick(), 0, null));
+                items.add(new Item(clock.nowUs(), new ShardEvent.Tick(), 0, null));
                 tick = false;
             }
             running = !items.isEmpty();
@@ -237,9 +237,9 @@
             for (Item item : items) {
                 long nowUs = clock.nowUs();
                 if (item.event != null) {
-                    var actions = new ArrayList<CopyAction>();
-                    CopyEvent event = item.event instanceof CopyEvent.Received received
-                            ? new CopyEvent.Received(received.from(), Ages.aged(received.message(), nowUs - item.atUs)) : item.event;
+                    var actions = new ArrayList<ShardAction>();
+                    ShardEvent event = item.event instanceof ShardEvent.Received received
+                            ? new ShardEvent.Received(received.from(), Ages.aged(received.message(), nowUs - item.atUs)) : item.event;
                     try {
                         shard.handle(nowUs, event, actions::add);
                     } catch (RuntimeException e) {
@@ -260,34 +260,34 @@
     }
 
     private void carryOut(Due due) {
-        if (due.action instanceof CopyAction.Send send) {
+        if (due.action instanceof ShardAction.Send send) {
             long waitedUs = clock.nowUs() - due.atUs;
             if (waitedUs > Ages.LATE_US) {
                 counters.dropped("late");
             } else {
                 surroundings.send(number, send.to(), Ages.aged(send.message(), waitedUs));
             }
-        } else if (due.action instanceof CopyAction.Persist persist) {
+        } else if (due.action instanceof ShardAction.Persist persist) {
             surroundings.changed(persist.slots());
-        } else if (due.action instanceof CopyAction.Acknowledged acknowledged) {
+        } else if (due.action instanceof ShardAction.Acknowledged acknowledged) {
             surroundings.acknowledged(acknowledged.id(), acknowledged.order());
-        } else if (due.action instanceof CopyAction.Refused refused) {
+        } else if (due.action instanceof ShardAction.Refused refused) {
             surroundings.refused(refused.id(), refused.why());
-        } else if (due.action instanceof CopyAction.Stands stands) {
+        } else if (due.action instanceof ShardAction.EffectiveOrderChanged stands) {
             if (stands.acting().payload() == null && stands.acting().rivals().isEmpty()) {
                 stood.remove(stands.key());
             } else {
                 stood.put(stands.key(), stands.acting());
             }
-            tell(listener -> listener.stands(stands.key(), stands.acting()));
-        } else if (due.action instanceof CopyAction.Heard heard) {
+            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.acting()));
+        } else if (due.action instanceof ShardAction.EntryReceived heard) {
             topics.add(heard.fact().key().topic());
-            tell(listener -> listener.fact(heard.fact()));
-        } else if (due.action instanceof CopyAction.Stale stale) {
-            Fact.Key key = stale.key();
+            tell(listener -> listener.entryReceived(heard.fact()));
+        } else if (due.action instanceof ShardAction.EntryStale stale) {
+            Entry.Key key = stale.key();
             Log.warn("fact_stale", "topic", key.topic(), "subject", key.subject(), "writer", key.writer(), "age_ms", stale.ageUs() / 1_000);
             tell(listener -> listener.stale(key));
-        } else if (due.action instanceof CopyAction.Level level) {
+        } else if (due.action instanceof ShardAction.CaughtUpChanged level) {
             surroundings.level(number, level.level());
         }
     }
@@ -299,11 +299,11 @@
     /** Tells a listener of what was told of already, in the order of events, and of all that comes from now on. */
     void listen(Outlet outlet, ToLongFunction<String> boundUs) {
         put(new Item(clock.nowUs(), null, 0, () -> {
-            stood.forEach((key, acting) -> outlet.put(listener -> listener.stands(key, acting)));
+            stood.forEach((key, acting) -> outlet.put(listener -> listener.effectiveOrderChanged(key, acting)));
             for (String topic : topics) {
-                for (Fact fact : facts(topic)) {
+                for (Entry fact : entries(topic)) {
                     if (!fact.key().writer().equals(self)) {
-                        outlet.put(listener -> listener.fact(fact));
+                        outlet.put(listener -> listener.entryReceived(fact));
                         if (fact.ageUs() > boundUs.applyAsLong(topic)) {
                             outlet.put(listener -> listener.stale(fact.key()));
                         }
@@ -314,10 +314,10 @@
         }));
     }
 
-    List<Fact> facts(String topic) {
+    List<Entry> entries(String topic) {
         lock.lock();
         try {
-            return List.copyOf(shard.facts(topic, clock.nowUs()));
+            return List.copyOf(shard.entries(topic, clock.nowUs()));
         } finally {
             lock.unlock();
         }
@@ -326,16 +326,16 @@
     Map<String, Long> figures() {
         lock.lock();
         try {
-            return shard.figures();
+            return shard.counters();
         } finally {
             lock.unlock();
         }
     }
 
-    Map<Order.Key, Acting> acting() {
+    Map<Order.Key, EffectiveOrder> acting() {
         lock.lock();
         try {
-            return Map.copyOf(shard.acting());
+            return Map.copyOf(shard.effectiveOrders());
         } finally {
             lock.unlock();
         }
--- a/fleet/src/main/java/walkpost/fleet/shell/Turns.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Turns.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.locks.Lock;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.LongFunction;
-import walkpost.fleet.Machine;
+import walkpost.fleet.StateMachine;
 
 /**
  * Works one machine: events wait here, a thread of the pool at a time gives a group of them to the machine, under its lock, and carries
@@ -40,7 +40,7 @@
     private record Due<A>(long atUs, A action) { }
 
     private final String name;
-    private final Machine<E, A> machine;
+    private final StateMachine<E, A> machine;
     private final E tick;
     private final Clock clock;
     private final Counters counters;
@@ -61,7 +61,7 @@
      * @param name of the machine, for the log
      * @param tick what tells it that time has passed
      */
-    Turns(String name, Machine<E, A> machine, E tick, Clock clock, Counters counters, Executor pool, Carrier<A> carrier) {
+    Turns(String name, StateMachine<E, A> machine, E tick, Clock clock, Counters counters, Executor pool, Carrier<A> carrier) {
         this.name = name;
         this.machine = machine;
         this.tick = tick;
--- a/fleet/src/main/java/walkpost/fleet/shell/VotingPart.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/VotingPart.java
@@ -14,14 +14,14 @@
 import walkpost.fleet.FleetException.BadDirectory;
 import walkpost.fleet.FleetException.NotLevel;
 import walkpost.fleet.FleetException.Uncertain;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.CopySettings;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.KeyHash;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Shard;
-import walkpost.fleet.copy.Shards;
+import walkpost.fleet.copy.ShardEvent;
+import walkpost.fleet.copy.ShardMessage;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Life;
 
@@ -50,7 +50,7 @@
     private final List<Outlet> outlets = new ArrayList<>();
 
     /** @param seeds of random choices, one after the other */
-    VotingPart(FleetFile file, Life self, CopySettings copySettings, Store store, Counters counters, Transport transport, Workers workers,
+    VotingPart(FleetFile file, Life self, ShardSettings copySettings, Store store, Counters counters, Transport transport, Workers workers,
             Sender sender, LongSupplier seeds) {
         this.file = file;
         this.counters = counters;
@@ -59,7 +59,7 @@
         this.sender = sender;
         this.store = store;
         shardLevel = new boolean[file.shards()];
-        CopySettings settings = copySettings.withBounds(file.bounds(), FleetFile.OTHER_BOUND_US);
+        ShardSettings settings = copySettings.withStalenessBounds(file.bounds(), FleetFile.OTHER_BOUND_US);
         for (int i = 0; i < file.shards(); i++) {
             var shard = new Shard(settings, self, Set.copyOf(file.configured()), seeds.getAsLong());
             shards.add(new ShardLane(i, shard, file.name(), clock, counters, workers, store.directory(), new Around()));
@@ -79,7 +79,7 @@
             feed.changed(slots);
         }
         for (int i = 0; i < shards.size(); i++) {
-            shards.get(i).offer(new CopyEvent.Restored(of(i, slots), store.directory().awayUs()));
+            shards.get(i).offer(new ShardEvent.Restored(of(i, slots), store.directory().awayUs()));
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     private int shardOf(String topic, String subject) {
-        return Shards.of(topic, subject, shards.size());
+        return KeyHash.shardOf(topic, subject, shards.size());
     }
 
     @Override
@@ -101,12 +101,12 @@
     }
 
     @Override
-    public void peers(CopyEvent.Peers now) {
-        CopyEvent.Peers voting = now;
+    public void peers(ShardEvent.LivePeers now) {
+        ShardEvent.LivePeers voting = now;
         if (feed != null) {
             var voters = new HashMap<>(now.roundTripUs());
             voters.keySet().retainAll(file.voters());
-            voting = new CopyEvent.Peers(voters);
+            voting = new ShardEvent.LivePeers(voters);
             feed.peers(voting);
         }
         for (ShardLane shard : shards) {
@@ -126,14 +126,14 @@
         } else if (feed != null && !file.voters().contains(from)) {
             counters.dropped("no_voter");
         } else {
-            shards.get(envelope.shard()).offer(new CopyEvent.Received(from, envelope.copy()), length);
+            shards.get(envelope.shard()).offer(new ShardEvent.Received(from, envelope.copy()), length);
         }
     }
 
     /** What the shards' lanes call, on a thread of the pool. */
     private final class Around implements ShardLane.Surroundings {
         @Override
-        public void send(int shard, String to, CopyMessage message) {
+        public void send(int shard, String to, ShardMessage message) {
             sender.send(shard, to, message);
         }
 
@@ -180,12 +180,12 @@
             if (reason != null) {
                 feed.refused(id, reason);
             } else {
-                shards.get(shardOf(key.topic(), key.subject())).offer(new CopyEvent.Propose(key, id, replaces, payload));
+                shards.get(shardOf(key.topic(), key.subject())).offer(new ShardEvent.Propose(key, id, replaces, payload));
             }
         }
 
         @Override
-        public List<Fact> own(String topic) {
+        public List<Entry> own(String topic) {
             return copied(topic).stream().filter(fact -> fact.key().writer().equals(file.name())).toList();
         }
 
@@ -194,7 +194,7 @@
             for (int i = 0; i < shards.size(); i++) {
                 List<Slot> those = of(i, slots);
                 if (!those.isEmpty()) {
-                    shards.get(i).offer(new CopyEvent.Offered(those));
+                    shards.get(i).offer(new ShardEvent.SlotsOffered(those));
                 }
             }
         }
@@ -220,20 +220,20 @@
             feed.level(now);
         }
         boolean told = now;
-        outlets.forEach(outlet -> outlet.put(listener -> listener.level(told)));
+        outlets.forEach(outlet -> outlet.put(listener -> listener.caughtUpChanged(told)));
     }
 
     @Override
     public void listen(Outlet outlet) {
         boolean now = level;
-        outlet.put(l -> l.level(now));
+        outlet.put(l -> l.caughtUpChanged(now));
         outlets.add(outlet);
         shards.forEach(shard -> shard.listen(outlet, file::boundUs));
     }
 
     @Override
-    public void tell(String topic, String subject, String payload) {
-        shards.get(shardOf(topic, subject)).offer(new CopyEvent.Tell(topic, subject, payload));
+    public void writeEntry(String topic, String subject, String payload) {
+        shards.get(shardOf(topic, subject)).offer(new ShardEvent.WriteEntry(topic, subject, payload));
     }
 
     @Override
@@ -246,7 +246,7 @@
             return CompletableFuture.failedFuture(new NotLevel(file.name(), 0, file.configured().size() / 2 + 1));
         }
         CompletableFuture<Order> answer = callers.add(id);
-        shards.get(shardOf(key.topic(), key.subject())).offer(new CopyEvent.Propose(key, id, replaces, payload));
+        shards.get(shardOf(key.topic(), key.subject())).offer(new ShardEvent.Propose(key, id, replaces, payload));
         if (closed) {
             callers.end(this::uncertain);
         }
@@ -259,24 +259,24 @@
     }
 
     @Override
-    public boolean level() {
+    public boolean isCaughtUp() {
         return level;
     }
 
     @Override
-    public Map<Order.Key, Acting> orders() {
-        var all = new HashMap<Order.Key, Acting>();
+    public Map<Order.Key, EffectiveOrder> orders() {
+        var all = new HashMap<Order.Key, EffectiveOrder>();
         shards.forEach(shard -> all.putAll(shard.acting()));
         return Map.copyOf(all);
     }
 
     @Override
-    public CompletionStage<FactsHeard> facts(String topic) {
-        return feed == null ? CompletableFuture.completedFuture(new FactsHeard(copied(topic), List.of())) : feed.facts(topic);
+    public CompletionStage<TopicEntries> entries(String topic) {
+        return feed == null ? CompletableFuture.completedFuture(new TopicEntries(copied(topic), List.of())) : feed.entries(topic);
     }
 
-    private List<Fact> copied(String topic) {
-        return shards.stream().flatMap(shard -> shard.facts(topic).stream()).toList();
+    private List<Entry> copied(String topic) {
+        return shards.stream().flatMap(shard -> shard.entries(topic).stream()).toList();
     }
 
     @Override
--- a/fleet/src/test/java/walkpost/fleet/copy/PromisesTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/AcceptorTest.java
@@ -9,26 +9,26 @@
 import walkpost.fleet.member.Life;
 
 /** Tests when an acceptor promises a slot to an order, and when the promise is released. */
-class PromisesTest {
+class AcceptorTest {
     private static final Order.Key KEY = new Order.Key("placement", "l1");
     private static final Life A = new Life("a", 1);
 
-    private final CopySettings settings = CopySettings.usual();
-    private final Figures counters = new Figures();
-    private final Touch catchUpState = new Touch(settings, new Neighbours("h", Set.of("h"), 1, 1), counters);
-    private final OrderBook slotStore = new OrderBook(settings, counters);
-    private final Promises acceptor = new Promises(settings, catchUpState, slotStore);
+    private final ShardSettings settings = ShardSettings.defaults();
+    private final ShardCounters counters = new ShardCounters();
+    private final CatchUpState catchUpState = new CatchUpState(settings, new PeerSet("h", Set.of("h"), 1, 1), counters);
+    private final SlotStore slotStore = new SlotStore(settings, counters);
+    private final Acceptor acceptor = new Acceptor(settings, catchUpState, slotStore);
 
     @BeforeEach
     void catchUp() {
-        catchUpState.clock(0);
-        catchUpState.settle(0);
+        catchUpState.advanceClock(0);
+        catchUpState.update(0);
     }
 
     private String propose(long nowUs, Life issuer, long round, String id, String... replaces) {
-        Order order = new Order(KEY, id, SlotRule.next(slotStore.slot(KEY)), List.of(replaces), "1", null, issuer);
-        CopyMessage answer = acceptor.answer(nowUs, new CopyMessage.Propose(round, order, Slot.empty(KEY)));
-        return answer instanceof CopyMessage.Declined declined ? declined.why() + declined.other() : "promised";
+        Order order = new Order(KEY, id, SlotMerge.nextVersion(slotStore.slot(KEY)), List.of(replaces), "1", null, issuer);
+        ShardMessage answer = acceptor.answerProposal(nowUs, new ShardMessage.Propose(round, order, Slot.empty(KEY)));
+        return answer instanceof ShardMessage.Declined declined ? declined.why() + declined.other() : "promised";
     }
 
     @Test
@@ -53,16 +53,16 @@
     @Test
     void anAbandonedRoundReleasesItsOwnPromiseOnly() {
         propose(0, A, 2, "x");
-        acceptor.forget(KEY, "a", 1, 1);
-        acceptor.forget(KEY, "b", 1, 9);
+        acceptor.release(KEY, "a", 1, 1);
+        acceptor.release(KEY, "b", 1, 9);
         assertThat(propose(1, new Life("b", 1), 1, "y")).isEqualTo("BUSYx");
-        acceptor.forget(KEY, "a", 1, 2);
+        acceptor.release(KEY, "a", 1, 2);
         assertThat(propose(2, new Life("b", 1), 1, "y")).isEqualTo("promised");
     }
 
     @Test
     void anOrderThatReplacesAnOrderNoLongerInForceGetsNoPromise() {
-        slotStore.decide(0, new Order(KEY, "o1", 1, List.of(), "1", null, A));
+        slotStore.storeDecided(0, new Order(KEY, "o1", 1, List.of(), "1", null, A));
         assertThat(propose(1, A, 1, "x")).isEqualTo("OVERTAKENo1");
         assertThat(propose(1, A, 1, "x", "o0")).isEqualTo("OVERTAKENo1");
         assertThat(propose(1, A, 1, "x", "o1")).isEqualTo("promised");
@@ -70,12 +70,12 @@
 
     @Test
     void aMemberThatIsNotCaughtUpPromisesNothing() {
-        catchUpState.clock(1);
-        Touch notCaughtUp = new Touch(settings, new Neighbours("h", Set.of("h", "i"), 1, 1), counters);
-        notCaughtUp.clock(0);
-        notCaughtUp.settle(0);
+        catchUpState.advanceClock(1);
+        CatchUpState notCaughtUp = new CatchUpState(settings, new PeerSet("h", Set.of("h", "i"), 1, 1), counters);
+        notCaughtUp.advanceClock(0);
+        notCaughtUp.update(0);
         Order order = new Order(KEY, "x", 1, List.of(), "1", null, A);
-        CopyMessage answer = new Promises(settings, notCaughtUp, slotStore).answer(1, new CopyMessage.Propose(1, order, Slot.empty(KEY)));
-        assertThat(answer).isEqualTo(new CopyMessage.Declined(1, "x", CopyMessage.Reason.NOT_LEVEL, "", null));
+        ShardMessage answer = new Acceptor(settings, notCaughtUp, slotStore).answerProposal(1, new ShardMessage.Propose(1, order, Slot.empty(KEY)));
+        assertThat(answer).isEqualTo(new ShardMessage.Declined(1, "x", ShardMessage.DeclineReason.NOT_LEVEL, "", null));
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
@@ -13,7 +13,7 @@
 
 /** Tests how members decide, acknowledge and store orders, under message loss, partitions, suspensions and restarts. */
 class OrdersTest {
-    private static final Order.Key EXCLUSION = new Order.Key(SlotRule.EXCLUSION, "s1");
+    private static final Order.Key EXCLUSION = new Order.Key(SlotMerge.EXCLUSION, "s1");
     private static final Order.Key PLACEMENT = new Order.Key("placement", "l1");
 
     /** Returns a cluster of which all members have caught up. */
@@ -23,7 +23,7 @@
 
     private static ShardCluster caughtUp(ShardCluster cluster) {
         cluster.run(8_000);
-        assertThat(cluster.nodes.values()).allMatch(node -> node.shard.level());
+        assertThat(cluster.nodes.values()).allMatch(node -> node.shard.isCaughtUp());
         return cluster;
     }
 
@@ -31,7 +31,7 @@
     private static void assertInEffect(ShardCluster cluster, Order.Key key, String payload, String... heads) {
         assertThat(cluster.nodes.values()).allSatisfy(node -> {
             assertThat(node.heads(key)).containsExactly(heads);
-            assertThat(node.shard.acting().get(key).payload()).isEqualTo(payload);
+            assertThat(node.shard.effectiveOrders().get(key).payload()).isEqualTo(payload);
             assertThat(node.effectiveOrders.get(key).get(node.effectiveOrders.get(key).size() - 1).payload()).isEqualTo(payload);
         });
     }
@@ -67,7 +67,7 @@
     @Test
     void lostPromisesNeverBringAnOrderIntoForceAndAreReleased() {
         ShardCluster cluster = caughtUp(3);
-        cluster.lost = flight -> flight.message() instanceof CopyMessage.Promised;
+        cluster.lost = flight -> flight.message() instanceof ShardMessage.Promised;
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(1_100);
         assertThat(cluster.node("a").refused.get("o1")).isInstanceOf(FleetException.NoMajority.class);
@@ -124,7 +124,7 @@
     @Test
     void aDecidedOrderWithoutConfirmationsIsUncertainAndAcknowledgedWhenSentAgain() {
         ShardCluster cluster = caughtUp(3);
-        cluster.lost = flight -> flight.message() instanceof CopyMessage.Held;
+        cluster.lost = flight -> flight.message() instanceof ShardMessage.Committed;
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.run(2_100);
         assertThat(cluster.node("a").refused.get("o1")).isInstanceOf(FleetException.Uncertain.class).hasMessageContaining("b, c");
@@ -144,7 +144,7 @@
         cluster.resume("a");
         cluster.run(10_000);
         assertThat(cluster.node("a").refused.get("o1")).isInstanceOf(FleetException.NoMajority.class);
-        assertThat(cluster.nodes.values()).allMatch(node -> node.shard.slots().isEmpty() && node.shard.level());
+        assertThat(cluster.nodes.values()).allMatch(node -> node.shard.slots().isEmpty() && node.shard.isCaughtUp());
     }
 
     @Test
@@ -190,7 +190,7 @@
         assertThat(cluster.node("b").inbox).isNotEmpty();
         cluster.nowUs += 2_000_000;
         cluster.resume("b");
-        assertThat(cluster.node("b").shard.level()).isFalse();
+        assertThat(cluster.node("b").shard.isCaughtUp()).isFalse();
         cluster.run(200);
         assertThat(cluster.node("a").refused).containsKey("o1");
         assertThat(cluster.node("b").shard.slots()).isEmpty();
@@ -207,18 +207,18 @@
             cluster.node("b").order(new Order.Key("placement", "l" + i), "p" + i, "", "x".repeat(200));
         }
         cluster.run(8_000);
-        assertThat(cluster.node("c").shard.level()).isFalse();
+        assertThat(cluster.node("c").shard.isCaughtUp()).isFalse();
         assertThat(cluster.node("c").effectiveOrders.get(EXCLUSION)).hasSize(1);
         cluster.heal();
         cluster.run(4_000);
-        assertThat(cluster.node("c").shard.level()).isTrue();
+        assertThat(cluster.node("c").shard.isCaughtUp()).isTrue();
         assertThat(cluster.node("c").shard.slots()).hasSize(301);
         assertInEffect(cluster, EXCLUSION, null, "o2");
     }
 
     @Test
     void aMemberIsolatedForLongerThanRemovalsAreRememberedEmptiesItsReplica() {
-        ShardCluster cluster = caughtUp(new ShardCluster(3, CopySettings.usual().withRemovals(10, 20_000_000), 3));
+        ShardCluster cluster = caughtUp(new ShardCluster(3, ShardSettings.defaults().withRemovals(10, 20_000_000), 3));
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
         cluster.node("a").order(PLACEMENT, "p1", "", "1");
         cluster.run(100);
@@ -230,17 +230,17 @@
         cluster.heal();
         cluster.run(10_000);
         assertThat(cluster.nodes.values()).allSatisfy(node -> {
-            assertThat(node.shard.level()).isTrue();
+            assertThat(node.shard.isCaughtUp()).isTrue();
             assertThat(node.heads(EXCLUSION)).isEmpty();
             assertThat(node.disk).containsOnlyKeys(PLACEMENT);
         });
-        assertThat(cluster.node("c").effectiveOrders.get(EXCLUSION)).extracting(Acting::payload).containsExactly("{}", null);
+        assertThat(cluster.node("c").effectiveOrders.get(EXCLUSION)).extracting(EffectiveOrder::payload).containsExactly("{}", null);
         assertInEffect(cluster, PLACEMENT, "1", "p1");
     }
 
     @Test
     void ordersThatRemoveAKeyAreRefusedWhileTheMemoryOfRemovalsIsFull() {
-        ShardCluster cluster = caughtUp(new ShardCluster(3, CopySettings.usual().withRemovals(1, 20_000_000), 3));
+        ShardCluster cluster = caughtUp(new ShardCluster(3, ShardSettings.defaults().withRemovals(1, 20_000_000), 3));
         for (String id : List.of("x", "y")) {
             cluster.node("a").order(new Order.Key("t", id), id, "", "1");
             cluster.run(100);
@@ -265,11 +265,11 @@
         cluster.heal();
         cluster.nowUs += 3 * 24 * 3600 * 1_000_000L;
         cluster.nodes.values().forEach(node -> node.restart(3 * 24 * 3600 * 1_000_000L));
-        assertThat(cluster.nodes.values()).noneMatch(node -> node.shard.level());
+        assertThat(cluster.nodes.values()).noneMatch(node -> node.shard.isCaughtUp());
         cluster.run(2_900);
-        assertThat(cluster.nodes.values()).noneMatch(node -> node.shard.level());
+        assertThat(cluster.nodes.values()).noneMatch(node -> node.shard.isCaughtUp());
         cluster.run(5_000);
-        assertThat(cluster.nodes.values()).allMatch(node -> node.shard.level());
+        assertThat(cluster.nodes.values()).allMatch(node -> node.shard.isCaughtUp());
         assertInEffect(cluster, EXCLUSION, "{}", "o1");
     }
 
@@ -278,38 +278,38 @@
         ShardCluster cluster = caughtUp(3);
         cluster.isolate("c");
         cluster.run(3_900);
-        assertThat(cluster.node("c").shard.level()).isTrue();
+        assertThat(cluster.node("c").shard.isCaughtUp()).isTrue();
         cluster.run(1_200);
-        assertThat(cluster.node("c").shard.level()).isFalse();
+        assertThat(cluster.node("c").shard.isCaughtUp()).isFalse();
         cluster.node("c").order(EXCLUSION, "o1", "", "{}");
         assertThat(cluster.node("c").refused.get("o1")).isInstanceOf(FleetException.NotLevel.class).hasMessageContaining("1 of 2");
-        assertThat(cluster.node("a").shard.level()).isTrue();
+        assertThat(cluster.node("a").shard.isCaughtUp()).isTrue();
         cluster.heal();
         cluster.run(2_500);
-        assertThat(cluster.node("c").shard.level()).isTrue();
+        assertThat(cluster.node("c").shard.isCaughtUp()).isTrue();
         cluster.suspend("c");
         cluster.run(1_500);
         cluster.resume("c");
         cluster.run(1);
-        assertThat(cluster.node("c").shard.figures()).containsEntry("touch.stood_still", 1L).containsEntry("touch.lost", 2L);
+        assertThat(cluster.node("c").shard.counters()).containsEntry("touch.stood_still", 1L).containsEntry("touch.lost", 2L);
         cluster.run(2_500);
-        assertThat(cluster.node("c").shard.level()).isTrue();
+        assertThat(cluster.node("c").shard.isCaughtUp()).isTrue();
     }
 
     @Test
     void ordersOfTheGreatestSizeAndTheirRivalsFitIntoMessages() {
         ShardCluster cluster = caughtUp(3);
-        String payload = "\u00e9".repeat(Sizes.PAYLOAD / 2);
+        String payload = "\u00e9".repeat(MessageSizes.PAYLOAD / 2);
         for (int i = 0; i < 70; i++) {
-            cluster.node("a").order(PLACEMENT, "x".repeat(Sizes.ID - 2) + (10 + i), null, payload);
+            cluster.node("a").order(PLACEMENT, "x".repeat(MessageSizes.ID - 2) + (10 + i), null, payload);
             cluster.run(10);
         }
         assertThat(cluster.node("a").acknowledged).hasSize(70);
-        assertThat(cluster.node("b").disk.get(PLACEMENT).replaced()).hasSize(SlotRule.MAX_REPLACED_IDS);
+        assertThat(cluster.node("b").disk.get(PLACEMENT).replaced()).hasSize(SlotMerge.MAX_REPLACED_IDS);
         for (int i = 0; i < 7; i++) {
             Order rival = new Order(PLACEMENT, "r" + i, 70, List.of(), payload, payload, new Life("z", 1));
-            cluster.node(i % 2 == 0 ? "b" : "c").handle(new CopyEvent.Received("z",
-                    new CopyMessage.Hold(i, rival.id(), new Slot(PLACEMENT, List.of(rival), Map.of(), 0))));
+            cluster.node(i % 2 == 0 ? "b" : "c").handle(new ShardEvent.Received("z",
+                    new ShardMessage.Commit(i, rival.id(), new Slot(PLACEMENT, List.of(rival), Map.of(), 0))));
         }
         cluster.run(5_000);
         assertThat(cluster.nodes.values()).allMatch(node -> node.heads(PLACEMENT).size() == 8);
@@ -321,7 +321,7 @@
     @Test
     void anOrderOfAMinorityThatFallsBelowTheFloorIsDroppedAndCounted() {
         ShardCluster cluster = caughtUp(3);
-        cluster.lost = flight -> flight.message() instanceof CopyMessage.Hold;
+        cluster.lost = flight -> flight.message() instanceof ShardMessage.Commit;
         cluster.node("c").order(PLACEMENT, "lonely", "", "0");
         cluster.run(20);
         cluster.isolate("c");
@@ -335,7 +335,7 @@
         cluster.heal();
         cluster.run(5_000);
         assertInEffect(cluster, PLACEMENT, "1", "o69");
-        assertThat(cluster.node("c").shard.figures()).containsEntry("orders.under_floor", 1L);
+        assertThat(cluster.node("c").shard.counters()).containsEntry("orders.under_floor", 1L);
     }
 
     @Test
@@ -353,7 +353,7 @@
         };
         cluster.run(6_000);
         cluster.node("a").order(EXCLUSION, "o1", "", "{}");
-        cluster.node("b").handle(new CopyEvent.Tell("verdict", "s1", "1"));
+        cluster.node("b").handle(new ShardEvent.WriteEntry("verdict", "s1", "1"));
         cluster.run(2_000);
         return trace;
     }
