--- a/fleet/src/test/java/walkpost/fleet/copy/ShardCluster.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/ShardCluster.java
@@ -32,7 +32,7 @@
     private static final long MS = 1_000;
 
     /** A message in transit; the number orders messages that arrive at the same time. */
-    record Flight(long atUs, long number, String from, String to, CopyMessage message) { }
+    record Flight(long atUs, long number, String from, String to, ShardMessage message) { }
 
     /** A member: its shard, its simulated disk, and the actions that its shard has reported. */
     final class Node {
@@ -40,11 +40,11 @@
         final Map<Order.Key, Slot> disk = new TreeMap<>(Comparator.comparing(Order.Key::toString));
         final Map<String, Order> acknowledged = new HashMap<>();
         final Map<String, FleetException> refused = new HashMap<>();
-        final Map<Order.Key, List<Acting>> effectiveOrders = new HashMap<>();
-        final List<Fact> receivedEntries = new ArrayList<>();
-        final List<Fact.Key> staleEntries = new ArrayList<>();
+        final Map<Order.Key, List<EffectiveOrder>> effectiveOrders = new HashMap<>();
+        final List<Entry> receivedEntries = new ArrayList<>();
+        final List<Entry.Key> staleEntries = new ArrayList<>();
         final Deque<Runnable> inbox = new ArrayDeque<>();
-        final Deque<CopyAction> pendingActions = new ArrayDeque<>();
+        final Deque<ShardAction> pendingActions = new ArrayDeque<>();
         Shard shard;
         boolean suspended;
         /** Keeps back the actions of the shard, as if the process were slow to carry them out. */
@@ -64,12 +64,12 @@
         void restart(long awayUs) {
             inbox.clear();
             start();
-            handle(new CopyEvent.Restored(List.copyOf(disk.values()), awayUs));
-            handle(new CopyEvent.Peers(peers(name)));
+            handle(new ShardEvent.Restored(List.copyOf(disk.values()), awayUs));
+            handle(new ShardEvent.LivePeers(peers(name)));
         }
 
         /** Hands an event to the shard and carries out its actions, unless they are paused. */
-        void handle(CopyEvent event) {
+        void handle(ShardEvent event) {
             shard.handle(nowUs, event, pendingActions::add);
             carryOutActions();
         }
@@ -80,26 +80,26 @@
             }
         }
 
-        private void carryOutAction(CopyAction action) {
-            if (action instanceof CopyAction.Send send) {
+        private void carryOutAction(ShardAction action) {
+            if (action instanceof ShardAction.Send send) {
                 transmit(name, send.to(), send.message());
-            } else if (action instanceof CopyAction.Persist persist) {
+            } else if (action instanceof ShardAction.Persist persist) {
                 for (Slot slot : persist.slots()) {
-                    if (slot.none()) {
+                    if (slot.hasNoHistory()) {
                         disk.remove(slot.key());
                     } else {
                         disk.put(slot.key(), slot);
                     }
                 }
-            } else if (action instanceof CopyAction.Acknowledged done) {
+            } else if (action instanceof ShardAction.Acknowledged done) {
                 acknowledged.put(done.id(), done.order());
-            } else if (action instanceof CopyAction.Refused failed) {
+            } else if (action instanceof ShardAction.Refused failed) {
                 refused.put(failed.id(), failed.why());
-            } else if (action instanceof CopyAction.Stands changed) {
+            } else if (action instanceof ShardAction.EffectiveOrderChanged changed) {
                 effectiveOrders.computeIfAbsent(changed.key(), key -> new ArrayList<>()).add(changed.acting());
-            } else if (action instanceof CopyAction.Heard received) {
+            } else if (action instanceof ShardAction.EntryReceived received) {
                 receivedEntries.add(received.fact());
-            } else if (action instanceof CopyAction.Stale stale) {
+            } else if (action instanceof ShardAction.EntryStale stale) {
                 staleEntries.add(stale.key());
             }
         }
@@ -107,12 +107,12 @@
         void order(Order.Key key, String id, String replaces, String payload) {
             acknowledged.remove(id);
             refused.remove(id);
-            handle(new CopyEvent.Propose(key, id, replaces, payload));
+            handle(new ShardEvent.Propose(key, id, replaces, payload));
         }
 
         /** Returns the ids of the decided orders for a key that no other order has replaced. */
         List<String> heads(Order.Key key) {
-            return shard.slots().stream().filter(slot -> slot.key().equals(key)).flatMap(slot -> SlotRule.ids(slot).stream()).toList();
+            return shard.slots().stream().filter(slot -> slot.key().equals(key)).flatMap(slot -> SlotMerge.headIds(slot).stream()).toList();
         }
     }
 
@@ -120,14 +120,14 @@
     final Set<String> isolated = new HashSet<>();
     Predicate<Flight> lost = flight -> false;
     long nowUs = -7_000 * MS;
-    private final CopySettings settings;
+    private final ShardSettings settings;
     private final Set<String> configured;
     private final long seed;
     private final PriorityQueue<Flight> flights =
             new PriorityQueue<>(Comparator.comparingLong(Flight::atUs).thenComparingLong(Flight::number));
     private long flightCount;
 
-    ShardCluster(int size, CopySettings settings, long seed) {
+    ShardCluster(int size, ShardSettings settings, long seed) {
         this.settings = settings;
         this.seed = seed;
         Set<String> names = new TreeSet<>();
@@ -136,11 +136,11 @@
         }
         configured = names;
         names.forEach(name -> nodes.put(name, new Node(name)));
-        nodes.values().forEach(node -> node.handle(new CopyEvent.Peers(peers(node.name))));
+        nodes.values().forEach(node -> node.handle(new ShardEvent.LivePeers(peers(node.name))));
     }
 
     ShardCluster(int size) {
-        this(size, CopySettings.usual(), 7);
+        this(size, ShardSettings.defaults(), 7);
     }
 
     Node node(String name) {
@@ -152,10 +152,10 @@
         for (long end = nowUs + ms * MS; nowUs < end; nowUs += MS) {
             while (!flights.isEmpty() && flights.peek().atUs() <= nowUs) {
                 Flight flight = flights.remove();
-                deliver(flight.to(), new CopyEvent.Received(flight.from(), flight.message()));
+                deliver(flight.to(), new ShardEvent.Received(flight.from(), flight.message()));
             }
             if (nowUs % (50 * MS) == 0) {
-                nodes.values().stream().filter(node -> !node.suspended).forEach(node -> node.handle(new CopyEvent.Tick()));
+                nodes.values().stream().filter(node -> !node.suspended).forEach(node -> node.handle(new ShardEvent.Tick()));
             }
         }
     }
@@ -191,7 +191,7 @@
         return peers;
     }
 
-    private void transmit(String from, String to, CopyMessage message) {
+    private void transmit(String from, String to, ShardMessage message) {
         Flight flight = new Flight(nowUs + MS, ++flightCount, from, to, encodeAndDecode(message));
         boolean cutOff = isolated.contains(from) || isolated.contains(to);
         if (!cutOff && !lost.test(flight) && nodes.containsKey(to)) {
@@ -199,7 +199,7 @@
         }
     }
 
-    private void deliver(String to, CopyEvent event) {
+    private void deliver(String to, ShardEvent event) {
         Node node = node(to);
         if (node.suspended) {
             node.inbox.add(() -> node.handle(event));
@@ -208,11 +208,11 @@
         }
     }
 
-    private CopyMessage encodeAndDecode(CopyMessage message) {
+    private ShardMessage encodeAndDecode(ShardMessage message) {
         try {
-            byte[] bytes = CBOR.writerFor(CopyMessage.class).writeValueAsBytes(message);
+            byte[] bytes = CBOR.writerFor(ShardMessage.class).writeValueAsBytes(message);
             assertThat(bytes.length).isLessThan(32 * 1024);
-            return CBOR.readValue(bytes, CopyMessage.class);
+            return CBOR.readValue(bytes, ShardMessage.class);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/fleet/src/test/java/walkpost/fleet/copy/SlotRuleTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/SlotMergeTest.java
@@ -19,7 +19,7 @@
 import walkpost.fleet.member.Life;
 
 /** Tests that the join of slots satisfies the laws of a semilattice, keeps all rivals, and never restores a replaced order. */
-class SlotRuleTest {
+class SlotMergeTest {
     private static final Order.Key KEY = new Order.Key("placement", "l1");
 
     /**
@@ -34,9 +34,9 @@
             int at = random.nextInt(2);
             Order order = order("o" + (i * 7919 + 13) % 1009, issuers.get(at), random.nextInt(4) == 0 ? null : "p" + i);
             history.add(order);
-            issuers.set(at, SlotRule.with(issuers.get(at), order));
+            issuers.set(at, SlotMerge.withOrder(issuers.get(at), order));
             if (random.nextInt(8) == 0) {
-                Slot both = SlotRule.join(issuers.get(0), issuers.get(1));
+                Slot both = SlotMerge.join(issuers.get(0), issuers.get(1));
                 issuers.set(random.nextInt(2), both);
             }
         }
@@ -45,7 +45,7 @@
             Slot replica = Slot.empty(KEY);
             double share = random.nextDouble();
             for (Order order : history) {
-                replica = random.nextDouble() < share ? SlotRule.with(replica, order) : replica;
+                replica = random.nextDouble() < share ? SlotMerge.withOrder(replica, order) : replica;
             }
             replicas.add(replica);
         }
@@ -53,7 +53,7 @@
     }
 
     private static Order order(String id, Slot on, String payload) {
-        return new Order(KEY, id, SlotRule.next(on), SlotRule.ids(on), payload, SlotRule.acting(on).payload(), new Life("a", 1));
+        return new Order(KEY, id, SlotMerge.nextVersion(on), SlotMerge.headIds(on), payload, SlotMerge.effectiveOrder(on).payload(), new Life("a", 1));
     }
 
     /** Returns the first law that a join breaks, or null if it keeps them all. */
@@ -82,42 +82,42 @@
     @Property(tries = 600, seed = "1")
     void replicasConvergeInAnyOrderOfMerges(@ForAll long seed, @ForAll @IntRange(min = 1, max = 250) int orders) {
         List<Slot> replicas = replicas(seed, orders, 3);
-        assertThat(brokenLaw(SlotRule::join, replicas.get(0), replicas.get(1), replicas.get(2))).isNull();
+        assertThat(brokenLaw(SlotMerge::join, replicas.get(0), replicas.get(1), replicas.get(2))).isNull();
     }
 
     @Property(tries = 300, seed = "2")
     void theLatestOrderIsAlwaysAboveTheFloor(@ForAll long seed, @ForAll @IntRange(min = 1, max = 250) int orders) {
-        Slot all = replicas(seed, orders, 4).stream().reduce(Slot.empty(KEY), SlotRule::join);
-        assertThat(all.none() || !all.heads().isEmpty()).isTrue();
-        assertThat(all.replaced()).hasSizeLessThanOrEqualTo(SlotRule.MAX_REPLACED_IDS);
+        Slot all = replicas(seed, orders, 4).stream().reduce(Slot.empty(KEY), SlotMerge::join);
+        assertThat(all.hasNoHistory() || !all.heads().isEmpty()).isTrue();
+        assertThat(all.replaced()).hasSizeLessThanOrEqualTo(SlotMerge.MAX_REPLACED_IDS);
         assertThat(all.heads()).allMatch(head -> head.version() > all.floor());
     }
 
     @Property(tries = 300, seed = "2")
     void slotsHaveEqualHashesIfAndOnlyIfTheyAreEqual(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int orders) {
         List<Slot> replicas = replicas(seed, orders, 2);
-        assertThat(SlotRule.hash(replicas.get(0)) == SlotRule.hash(replicas.get(1))).isEqualTo(replicas.get(0).equals(replicas.get(1)));
+        assertThat(SlotMerge.hash(replicas.get(0)) == SlotMerge.hash(replicas.get(1))).isEqualTo(replicas.get(0).equals(replicas.get(1)));
     }
 
     static Stream<Arguments> faultyJoins() {
-        BinaryOperator<Slot> lastWriterWins = (a, b) -> SlotRule.next(a) >= SlotRule.next(b) ? a : b;
+        BinaryOperator<Slot> lastWriterWins = (a, b) -> SlotMerge.nextVersion(a) >= SlotMerge.nextVersion(b) ? a : b;
         BinaryOperator<Slot> forgetsReplacedIds = (a, b) -> {
             Map<String, Order> heads = new TreeMap<>();
             Stream.of(a, b).flatMap(slot -> slot.heads().stream()).forEach(head -> heads.put(head.id(), head));
             return new Slot(KEY, List.copyOf(heads.values()), Map.of(), 0);
         };
         BinaryOperator<Slot> dropsHeadsOfOneSide = (a, b) -> {
-            Slot both = SlotRule.join(a, b);
+            Slot both = SlotMerge.join(a, b);
             return new Slot(KEY, both.heads().stream().filter(head -> a.heads().contains(head) == b.heads().contains(head)).toList(),
                     both.replaced(), both.floor());
         };
         BinaryOperator<Slot> lowerFloor = (a, b) -> {
-            Slot both = SlotRule.join(a, b);
+            Slot both = SlotMerge.join(a, b);
             return new Slot(KEY, both.heads(), both.replaced(), Math.min(a.floor(), b.floor()));
         };
         BinaryOperator<Slot> keepsHighestHeadOnly = (a, b) -> {
-            Slot both = SlotRule.join(a, b);
-            Order chosen = SlotRule.acting(both).chosen();
+            Slot both = SlotMerge.join(a, b);
+            Order chosen = SlotMerge.effectiveOrder(both).chosen();
             return new Slot(KEY, chosen == null ? List.of() : List.of(chosen), both.replaced(), both.floor());
         };
         return Stream.of(Arguments.of(lastWriterWins), Arguments.of(forgetsReplacedIds), Arguments.of(dropsHeadsOfOneSide),
@@ -137,10 +137,10 @@
 
     @Test
     void allReplicasChooseTheSameRivalAndKeepTheFormerPayloadInEffect() {
-        Slot first = SlotRule.with(Slot.empty(KEY), order("first", Slot.empty(KEY), "1"));
-        Slot one = SlotRule.with(first, order("x", first, "2"));
-        Slot other = SlotRule.with(first, order("y", first, "3"));
-        Acting acting = SlotRule.acting(SlotRule.join(one, other));
+        Slot first = SlotMerge.withOrder(Slot.empty(KEY), order("first", Slot.empty(KEY), "1"));
+        Slot one = SlotMerge.withOrder(first, order("x", first, "2"));
+        Slot other = SlotMerge.withOrder(first, order("y", first, "3"));
+        EffectiveOrder acting = SlotMerge.effectiveOrder(SlotMerge.join(one, other));
         assertThat(acting.payload()).isEqualTo("1");
         assertThat(acting.chosen().id()).isEqualTo("y");
         assertThat(acting.rivals()).extracting(Order::id).containsExactly("x");
@@ -148,11 +148,11 @@
 
     @Test
     void aServerIsExcludedIfAnyRivalExcludesIt() {
-        Order.Key key = new Order.Key(SlotRule.EXCLUSION, "s1");
+        Order.Key key = new Order.Key(SlotMerge.EXCLUSION, "s1");
         Slot none = Slot.empty(key);
         Order excludes = new Order(key, "a", 1, List.of(), "{}", null, new Life("a", 1));
         Order readmits = new Order(key, "b", 2, List.of("c"), null, "{}", new Life("b", 1));
-        Acting acting = SlotRule.acting(SlotRule.with(SlotRule.with(none, excludes), readmits));
+        EffectiveOrder acting = SlotMerge.effectiveOrder(SlotMerge.withOrder(SlotMerge.withOrder(none, excludes), readmits));
         assertThat(acting.chosen().id()).isEqualTo("b");
         assertThat(acting.payload()).isEqualTo("{}");
     }
@@ -161,12 +161,12 @@
     void theJoinOfTheSplitPartsIsTheWholeSlot() {
         Slot slot = Slot.empty(KEY);
         for (int i = 0; i < 9; i++) {
-            slot = SlotRule.join(slot, new Slot(KEY, List.of(new Order(KEY, "r" + i, 7, List.of("old" + i), "x".repeat(4000), null,
+            slot = SlotMerge.join(slot, new Slot(KEY, List.of(new Order(KEY, "r" + i, 7, List.of("old" + i), "x".repeat(4000), null,
                     new Life("a", 1))), Map.of(), 2));
         }
-        List<Slot> parts = SlotRule.parts(slot, "r4");
-        assertThat(parts).hasSize(9).allMatch(part -> Sizes.of(part) < Sizes.MESSAGE);
-        assertThat(SlotRule.ids(parts.get(8))).containsExactly("r4");
-        assertThat(parts.stream().reduce(Slot.empty(KEY), SlotRule::join)).isEqualTo(slot);
+        List<Slot> parts = SlotMerge.split(slot, "r4");
+        assertThat(parts).hasSize(9).allMatch(part -> MessageSizes.bytesOf(part) < MessageSizes.MESSAGE);
+        assertThat(SlotMerge.headIds(parts.get(8))).containsExactly("r4");
+        assertThat(parts.stream().reduce(Slot.empty(KEY), SlotMerge::join)).isEqualTo(slot);
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
@@ -11,7 +11,7 @@
 
 /** How members of a larger fleet compare what they hold before they tell it. */
 class DigestTest {
-    private static final MemberSettings USUAL = MemberSettings.usual();
+    private static final MemberSettings USUAL = MemberSettings.defaults();
     private static final int MANY = 60;
 
     private static List<MemberMessage.Sync> syncs(VirtualNetwork network) {
--- a/fleet/src/test/java/walkpost/fleet/member/MemberNewsTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/MemberNewsTest.java
@@ -14,7 +14,7 @@
 
 /** What one member makes of what it is told, honest or not, and what its messages weigh. */
 final class MemberNewsTest {
-    private static final MemberSettings USUAL = MemberSettings.usual();
+    private static final MemberSettings USUAL = MemberSettings.defaults();
     private static final Life ME = new Life("me", 1_000);
     private static final Life OTHER = new Life("other", 1_000);
     private final Membership machine = new Membership(USUAL, ME, at(1), List.of(), 1);
--- a/fleet/src/test/java/walkpost/fleet/member/MembershipTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/MembershipTest.java
@@ -13,7 +13,7 @@
 
 /** Who lives, on a virtual clock and network: what each fault does, and after how many periods everybody knows. */
 final class MembershipTest {
-    private static final MemberSettings USUAL = MemberSettings.usual();
+    private static final MemberSettings USUAL = MemberSettings.defaults();
 
     @ParameterizedTest
     @ValueSource(ints = {3, 10, 100})
--- a/fleet/src/test/java/walkpost/fleet/member/VirtualNetwork.java
+++ b/fleet/src/test/java/walkpost/fleet/member/VirtualNetwork.java
@@ -14,7 +14,7 @@
 
 /** Members on one clock and a network that loses, delays, doubles and reorders datagrams, all from one seed. What is large arrives. */
 final class VirtualNetwork {
-    static final long PERIOD = MemberSettings.usual().periodUs();
+    static final long PERIOD = MemberSettings.defaults().periodUs();
     private static final long TICK = 50_000;
 
     /** A change of what one member holds of another, or of itself. */
--- a/fleet/src/test/java/walkpost/fleet/observe/FeedTest.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/FeedTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.HashTree;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
@@ -25,13 +25,13 @@
 
     @BeforeEach
     void make() {
-        make(ObserveSettings.usual());
+        make(ObserveSettings.defaults());
     }
 
     private void make(ObserveSettings settings) {
         feed = new Feed(settings, "a", "north", Set.of("a", "b", "c"));
         handle(new FeedEvent.Voters(Set.of("b", "c")));
-        handle(new FeedEvent.Level(true));
+        handle(new FeedEvent.CaughtUpChanged(true));
     }
 
     private List<FeedAction> handle(FeedEvent event) {
@@ -136,7 +136,7 @@
         var equal = (ObserveMessage.Echo) answer("o1", new ObserveMessage.Beat(3, true, table.tree().root(), 0));
         assertThat(equal.nodes()).isEmpty();
         assertThat(equal.level()).isTrue();
-        handle(new FeedEvent.Level(false));
+        handle(new FeedEvent.CaughtUpChanged(false));
         assertThat(((ObserveMessage.Echo) answer("o1", new ObserveMessage.Beat(4, true, table.tree().root(), 0))).level()).isFalse();
     }
 
@@ -144,7 +144,7 @@
     void offersAreTakenOnlyFromACopyThatIsNotTooOld() {
         join("o1");
         Slot slot = World.slot(World.KEY, "x1");
-        long halfUs = ObserveSettings.usual().removalUs() / 2;
+        long halfUs = ObserveSettings.defaults().removalUs() / 2;
         for (long awayUs : new long[] {-1, halfUs + 1, Observer.NEVER_US, Long.MAX_VALUE, Long.MIN_VALUE}) {
             assertThat(handle(new FeedEvent.Received("o1", new ObserveMessage.Offer(awayUs, List.of(slot))))).isEmpty();
         }
@@ -216,9 +216,9 @@
                 new ObserveMessage.Offer(0, List.of()),
                 new ObserveMessage.Offer(0, List.of(Slot.empty(new Order.Key("placement", "none")))),
                 new ObserveMessage.Taken(Long.MIN_VALUE),
-                new ObserveMessage.Report(List.of(new Fact(new Fact.Key("t", "s", "somebody"), 1, 1, "{}", 0))),
-                new ObserveMessage.Report(List.of(new Fact(new Fact.Key("t", "s", "o1"), 1, 1, "{}", -1))),
-                new ObserveMessage.Report(List.of(new Fact(new Fact.Key("t", "s", "o1"), 1, 1, "{}", Long.MAX_VALUE))),
+                new ObserveMessage.Report(List.of(new Entry(new Entry.Key("t", "s", "somebody"), 1, 1, "{}", 0))),
+                new ObserveMessage.Report(List.of(new Entry(new Entry.Key("t", "s", "o1"), 1, 1, "{}", -1))),
+                new ObserveMessage.Report(List.of(new Entry(new Entry.Key("t", "s", "o1"), 1, 1, "{}", Long.MAX_VALUE))),
                 new ObserveMessage.Sum(null, Map.of("north", 7)),
                 new ObserveMessage.Sum("north", Map.of("north", -7)),
                 new ObserveMessage.Echo(1, true, 0, new long[3], Map.of("x", 1)),
--- a/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
@@ -11,11 +11,11 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.CopyMessage.SlotStamp;
 import walkpost.fleet.copy.HashTree;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.Slot;
-import walkpost.fleet.copy.SlotRule;
+import walkpost.fleet.copy.SlotMerge;
 import walkpost.fleet.member.Life;
 
 class ObserverTest {
@@ -30,7 +30,7 @@
         world.observer(O, "north");
         world.run(8 * World.S);
         assertThat(world.observers.get(O).feeds()).hasSize(2);
-        assertThat(world.observers.get(O).level()).isTrue();
+        assertThat(world.observers.get(O).isCaughtUp()).isTrue();
         return world;
     }
 
@@ -76,7 +76,7 @@
     void voterThatRefusesIsLeftAloneForAsLongAsItSaysAndADrawnTimeMore() {
         TreeSet<Long> waits = new TreeSet<>();
         for (int i = 0; i < 10; i++) {
-            var observer = new Observer(ObserveSettings.usual(), new Life("o" + i, 1), "", Set.of("a"), i);
+            var observer = new Observer(ObserveSettings.defaults(), new Life("o" + i, 1), "", Set.of("a"), i);
             List<ObserveMessage> sent = new ArrayList<>();
             long refusedUs = -1;
             observer.handle(0, new ObserverEvent.Voters(Map.of("a", 1_000L)), action -> { });
@@ -124,7 +124,7 @@
         world.lost = message -> message.from().equals(silent) || message.to().equals(silent);
         world.run(9 * World.S);
         assertThat(world.observers.get(O).feeds()).hasSize(2).contains(stays).doesNotContain(silent);
-        assertThat(world.told(O, ObserverAction.Level.class)).as("level all the time").hasSize(1);
+        assertThat(world.told(O, ObserverAction.CaughtUpChanged.class)).as("level all the time").hasSize(1);
     }
 
     @Test
@@ -138,7 +138,7 @@
         world.change(old, "c");
         world.run(5 * World.S);
         assertThat(world.acted(O, World.KEY)).containsExactly("\"o2\"");
-        assertThat(world.observers.get(O).acting().get(World.KEY).payload()).isEqualTo("\"o2\"");
+        assertThat(world.observers.get(O).effectiveOrders().get(World.KEY).payload()).isEqualTo("\"o2\"");
     }
 
     @Test
@@ -146,13 +146,13 @@
         World world = new World("a", "b");
         world.voter("a", "");
         world.voter("b", "");
-        world.at("a", new FeedEvent.Level(false));
-        world.at("b", new FeedEvent.Level(false));
+        world.at("a", new FeedEvent.CaughtUpChanged(false));
+        world.at("b", new FeedEvent.CaughtUpChanged(false));
         world.change(World.slot(World.KEY, "o1"));
         world.observer(O, "");
         world.run(10 * World.S);
         assertThat(world.observers.get(O).feeds()).hasSize(2);
-        assertThat(world.observers.get(O).level()).isFalse();
+        assertThat(world.observers.get(O).isCaughtUp()).isFalse();
         assertThat(world.observers.get(O).controlAgeUs(world.nowUs)).isEqualTo(Observer.NEVER_US);
         assertThat(world.told.get(O)).isEmpty();
     }
@@ -167,13 +167,13 @@
         world.run(60 * World.S);
         Observer observer = world.observers.get(O);
         assertThat(world.told.get(O).subList(told, world.told.get(O).size()))
-                .contains(new ObserverAction.Level(false)).noneMatch(ObserverAction.Stands.class::isInstance);
-        assertThat(observer.level()).isFalse();
-        assertThat(observer.acting().get(World.KEY).payload()).isEqualTo("\"o1\"");
+                .contains(new ObserverAction.CaughtUpChanged(false)).noneMatch(ObserverAction.EffectiveOrderChanged.class::isInstance);
+        assertThat(observer.isCaughtUp()).isFalse();
+        assertThat(observer.effectiveOrders().get(World.KEY).payload()).isEqualTo("\"o1\"");
         assertThat(observer.controlAgeUs(world.nowUs)).isBetween(60 * World.S, 63 * World.S);
         world.lost = message -> false;
         world.run(12 * World.S);
-        assertThat(observer.level()).isTrue();
+        assertThat(observer.isCaughtUp()).isTrue();
         assertThat(world.acted(O, World.KEY)).containsExactly("\"o1\"");
     }
 
@@ -192,8 +192,8 @@
         World world = new World("a", "b");
         world.voter("a", "");
         world.voter("b", "");
-        world.at("a", new FeedEvent.Level(false));
-        world.at("b", new FeedEvent.Level(false));
+        world.at("a", new FeedEvent.CaughtUpChanged(false));
+        world.at("b", new FeedEvent.CaughtUpChanged(false));
         world.observer(O, "");
         world.run(4 * World.S);
         // Pushed by voters that then lose all they held: nobody would take it from a copy that never was the fleet's.
@@ -204,10 +204,10 @@
         world.change(Slot.empty(World.KEY));
         world.change(Slot.empty(other));
         world.change(World.slot(other, "o4"));
-        world.at("a", new FeedEvent.Level(true));
-        world.at("b", new FeedEvent.Level(true));
+        world.at("a", new FeedEvent.CaughtUpChanged(true));
+        world.at("b", new FeedEvent.CaughtUpChanged(true));
         world.run(6 * World.S);
-        assertThat(world.observers.get(O).level()).isTrue();
+        assertThat(world.observers.get(O).isCaughtUp()).isTrue();
         assertThat(world.acted(O, World.KEY)).isEmpty();
         assertThat(world.acted(O, other)).containsExactly("\"o4\"");
     }
@@ -216,7 +216,7 @@
     void removalThatVotersLostIsOfferedWhereWhatItEndedStandsAgain() {
         World world = joined();
         Slot stood = World.slot(World.KEY, "o1");
-        Slot removed = SlotRule.with(stood, new Order(World.KEY, "o2", 2, List.of("o1"), null, "\"o1\"", new Life("a", 1)));
+        Slot removed = SlotMerge.withOrder(stood, new Order(World.KEY, "o2", 2, List.of("o1"), null, "\"o1\"", new Life("a", 1)));
         world.change(removed);
         world.run(World.S);
         world.change(Slot.empty(World.KEY));
@@ -301,7 +301,7 @@
     @Test
     void orderThatReachesNoVoterIsRefused() {
         World world = new World("a");
-        var observer = new Observer(ObserveSettings.usual(), new Life(O, 1), "", Set.of("a"), 1);
+        var observer = new Observer(ObserveSettings.defaults(), new Life(O, 1), "", Set.of("a"), 1);
         List<ObserverAction> told = new ArrayList<>();
         observer.handle(0, new ObserverEvent.Propose(World.KEY, "o1", "", "1"), told::add);
         observer.handle(world.settings.callUs(), new ObserverEvent.Tick(), told::add);
@@ -314,9 +314,9 @@
         World world = joined();
         world.change(World.slot(World.KEY, "o1"));
         world.run(3 * World.S);
-        var before = world.observers.get(O).acting();
+        var before = world.observers.get(O).effectiveOrders();
         int told = world.told.get(O).size();
-        SlotStamp stamp = new SlotStamp(World.KEY, 1);
+        ShardMessage.SlotDigest stamp = new ShardMessage.SlotDigest(World.KEY, 1);
         for (long seq = -2; seq < 40; seq++) {
             for (int length : new int[] {1, 15, 17, 300}) {
                 for (ObserveMessage message : List.of(
@@ -338,13 +338,13 @@
             }
         }
         world.at(O, received("nobody", new ObserveMessage.Push(1, 0, List.of(World.slot(World.KEY, "o1", "o2")))));
-        assertThat(world.observers.get(O).acting()).isEqualTo(before);
+        assertThat(world.observers.get(O).effectiveOrders()).isEqualTo(before);
         assertThat(world.told.get(O)).hasSize(told);
         assertThat(world.observers.get(O).feeds()).hasSize(2);
         world.change(World.slot(World.KEY, "o1", "o3"));
         world.run(6 * World.S);
         assertThat(world.acted(O, World.KEY)).containsExactly("\"o1\"", "\"o3\"");
-        assertThat(world.observers.get(O).level()).isTrue();
+        assertThat(world.observers.get(O).isCaughtUp()).isTrue();
     }
 
     @Test
@@ -368,7 +368,7 @@
             if (leaves.message() instanceof ObserveMessage.Leaves asked) {
                 for (int[] part : new int[][] {{-1, 1}, {1, 1}, {0, -1}, {Integer.MAX_VALUE - 1, Integer.MAX_VALUE}}) {
                     world.at(O, received(leaves.to(), new ObserveMessage.Stamps(asked.seq(), part[0], part[1], new int[] {-7, 999},
-                            List.of(new SlotStamp(World.KEY, 0)))));
+                            List.of(new ShardMessage.SlotDigest(World.KEY, 0)))));
                 }
             }
         }
--- a/fleet/src/test/java/walkpost/fleet/observe/World.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/World.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
-import walkpost.fleet.copy.SlotRule;
+import walkpost.fleet.copy.SlotMerge;
 import walkpost.fleet.member.Life;
 
 /** Feeds and observers on a network without chance, in one thread: a message takes its way's time, or is lost where a test says so. */
@@ -42,7 +42,7 @@
     long nowUs;
 
     World(String... voters) {
-        this(ObserveSettings.usual(), voters);
+        this(ObserveSettings.defaults(), voters);
     }
 
     World(ObserveSettings settings, String... voters) {
@@ -57,7 +57,7 @@
         Set<String> others = new TreeSet<>(voters);
         others.remove(name);
         at(name, new FeedEvent.Voters(others));
-        at(name, new FeedEvent.Level(true));
+        at(name, new FeedEvent.CaughtUpChanged(true));
     }
 
     Observer observer(String name, String region) {
@@ -137,7 +137,7 @@
     List<String> acted(String observer, Order.Key key) {
         List<String> payloads = new ArrayList<>();
         for (ObserverAction action : told.get(observer)) {
-            if (action instanceof ObserverAction.Stands stands && stands.key().equals(key)) {
+            if (action instanceof ObserverAction.EffectiveOrderChanged stands && stands.key().equals(key)) {
                 payloads.add(stands.acting().payload());
             }
         }
@@ -156,7 +156,7 @@
     static Slot slot(Order.Key key, String... ids) {
         Slot slot = Slot.empty(key);
         for (String id : ids) {
-            slot = SlotRule.with(slot, new Order(key, id, slot.heads().isEmpty() ? 1 : slot.heads().get(0).version() + 1,
+            slot = SlotMerge.withOrder(slot, new Order(key, id, slot.heads().isEmpty() ? 1 : slot.heads().get(0).version() + 1,
                     slot.heads().stream().map(Order::id).toList(), "\"" + id + "\"", null, new Life("a", 1)));
         }
         return slot;
--- a/fleet/src/test/java/walkpost/fleet/scale/Orders.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Orders.java
@@ -9,7 +9,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Acting;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
 
 /**
@@ -66,14 +66,14 @@
         open.put(call.id, call);
         openByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(call);
         // What stands is taken back, and what does not is given: to take back nothing is refused.
-        Acting acting = at.acting().get(key);
+        EffectiveOrder acting = at.acting().get(key);
         String payload = acting != null && acting.payload() != null ? null : "{\"out\":true,\"reason\":\"" + key.subject() + " is slow\"}";
         at.order(key, call.id, null, payload);
         world.agenda().after(LOOK_US, () -> look(call));
     }
 
     /** This stands at a member from now on. */
-    void stands(Host host, Order.Key key, Acting acting) {
+    void stands(Host host, Order.Key key, EffectiveOrder acting) {
         if (acting.chosen() == null) {
             return;
         }
@@ -132,9 +132,9 @@
 
     /** Returns whether a member holds all that was acknowledged so far, or what came after it; a removal that it never knew of is held. */
     boolean heldBy(Process process) {
-        Map<Order.Key, Acting> stands = process.acting();
+        Map<Order.Key, EffectiveOrder> stands = process.acting();
         return acknowledged.values().stream().allMatch(order -> {
-            Acting acting = stands.get(order.key());
+            EffectiveOrder acting = stands.get(order.key());
             return acting == null || acting.chosen() == null ? order.payload() == null : acting.chosen().version() >= order.version();
         });
     }
--- a/fleet/src/test/java/walkpost/fleet/scale/Process.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Process.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyMessage;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.Member;
 import walkpost.fleet.member.MemberAction;
@@ -43,7 +43,7 @@
         this.world = world;
         this.host = host;
         this.life = life;
-        membership = new Membership(MemberSettings.usual(), life, host.address(), world.seeds(), world.agenda().nextSeed());
+        membership = new Membership(MemberSettings.defaults(), life, host.address(), world.seeds(), world.agenda().nextSeed());
     }
 
     /** Who lives, with the round trip to each, this one apart. */
@@ -54,7 +54,7 @@
 
     abstract void ticked(long nowUs);
 
-    abstract void received(String from, int shard, CopyMessage message);
+    abstract void received(String from, int shard, ShardMessage message);
 
     abstract void received(String from, ObserveMessage message);
 
@@ -65,7 +65,7 @@
     abstract boolean level();
 
     /** Returns what stands, by key. */
-    abstract Map<Order.Key, Acting> acting();
+    abstract Map<Order.Key, EffectiveOrder> acting();
 
     final World world() {
         return world;
@@ -158,7 +158,7 @@
     }
 
     /** Sends to the same shard of a member. */
-    final void send(String name, int shard, CopyMessage message) {
+    final void send(String name, int shard, ShardMessage message) {
         Host to = known(name);
         if (to == null) {
             return;
--- a/fleet/src/test/java/walkpost/fleet/scale/Voter.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Voter.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.CopySettings;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.KeyHash;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Shard;
-import walkpost.fleet.copy.Shards;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardEvent;
+import walkpost.fleet.copy.ShardMessage;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.observe.Feed;
@@ -39,9 +39,9 @@
     Voter(World world, Host host, Life life) {
         super(world, host, life);
         for (int shard = 0; shard < World.SHARDS; shard++) {
-            lanes.add(new Lane(shard, new Shard(CopySettings.usual(), life, world.voters(), world.agenda().nextSeed())));
+            lanes.add(new Lane(shard, new Shard(ShardSettings.defaults(), life, world.voters(), world.agenda().nextSeed())));
         }
-        feed = world.hasObservers() ? new Feed(ObserveSettings.usual(), host.name(), "region-" + host.region(), world.voters()) : null;
+        feed = world.hasObservers() ? new Feed(ObserveSettings.defaults(), host.name(), "region-" + host.region(), world.voters()) : null;
     }
 
     Feed feed() {
@@ -53,7 +53,7 @@
         for (Lane lane : lanes) {
             List<Slot> slots = host().disk().values().stream().filter(slot -> shardOf(slot.key()) == lane.number).toList();
             if (!slots.isEmpty()) {
-                lane.take(new CopyEvent.Restored(slots, host().awayUs(world().nowUs())));
+                lane.take(new ShardEvent.Restored(slots, host().awayUs(world().nowUs())));
             }
         }
         if (feed != null && !host().disk().isEmpty()) {
@@ -63,7 +63,7 @@
     }
 
     private static int shardOf(Order.Key key) {
-        return Shards.of(key.topic(), key.subject(), World.SHARDS);
+        return KeyHash.shardOf(key.topic(), key.subject(), World.SHARDS);
     }
 
     @Override
@@ -74,7 +74,7 @@
                 voters.put(name, trip);
             }
         });
-        CopyEvent.Peers peers = new CopyEvent.Peers(voters);
+        ShardEvent.LivePeers peers = new ShardEvent.LivePeers(voters);
         lanes.forEach(lane -> lane.take(peers));
         if (feed != null && !voters.keySet().equals(others)) {
             others = Set.copyOf(voters.keySet());
@@ -89,15 +89,15 @@
 
     @Override
     void ticked(long nowUs) {
-        lanes.forEach(lane -> lane.take(new CopyEvent.Tick()));
+        lanes.forEach(lane -> lane.take(new ShardEvent.Tick()));
         if (feed != null) {
             handle(new FeedEvent.Tick());
         }
     }
 
     @Override
-    void received(String from, int shard, CopyMessage message) {
-        lanes.get(shard).take(new CopyEvent.Received(from, message));
+    void received(String from, int shard, ShardMessage message) {
+        lanes.get(shard).take(new ShardEvent.Received(from, message));
     }
 
     @Override
@@ -109,12 +109,12 @@
 
     @Override
     void tell(String topic, String subject, String payload) {
-        lanes.get(Shards.of(topic, subject, World.SHARDS)).take(new CopyEvent.Tell(topic, subject, payload));
+        lanes.get(KeyHash.shardOf(topic, subject, World.SHARDS)).take(new ShardEvent.WriteEntry(topic, subject, payload));
     }
 
     @Override
     void order(Order.Key key, String id, String replaces, String payload) {
-        lanes.get(shardOf(key)).take(new CopyEvent.Propose(key, id, replaces, payload));
+        lanes.get(shardOf(key)).take(new ShardEvent.Propose(key, id, replaces, payload));
     }
 
     @Override
@@ -123,18 +123,18 @@
     }
 
     @Override
-    Map<Order.Key, Acting> acting() {
-        Map<Order.Key, Acting> all = new HashMap<>();
-        lanes.forEach(lane -> all.putAll(lane.shard.acting()));
+    Map<Order.Key, EffectiveOrder> acting() {
+        Map<Order.Key, EffectiveOrder> all = new HashMap<>();
+        lanes.forEach(lane -> all.putAll(lane.shard.effectiveOrders()));
         return all;
     }
 
     private void levelMayHaveChanged() {
-        boolean now = lanes.stream().allMatch(lane -> lane.shard.level());
+        boolean now = lanes.stream().allMatch(lane -> lane.shard.isCaughtUp());
         if (now != level) {
             level = now;
             if (feed != null) {
-                handle(new FeedEvent.Level(now));
+                handle(new FeedEvent.CaughtUpChanged(now));
             }
         }
     }
@@ -153,7 +153,7 @@
             } else if (action instanceof FeedAction.Offer offer) {
                 Map<Integer, List<Slot>> byShard = new HashMap<>();
                 offer.slots().forEach(slot -> byShard.computeIfAbsent(shardOf(slot.key()), shard -> new ArrayList<>()).add(slot));
-                byShard.forEach((shard, slots) -> lanes.get(shard).take(new CopyEvent.Offered(slots)));
+                byShard.forEach((shard, slots) -> lanes.get(shard).take(new ShardEvent.SlotsOffered(slots)));
             }
         }
     }
@@ -162,8 +162,8 @@
     private final class Lane {
         private final int number;
         private final Shard shard;
-        private final List<CopyAction> actions = new ArrayList<>();
-        private final Deque<CopyEvent> waiting = new ArrayDeque<>();
+        private final List<ShardAction> actions = new ArrayList<>();
+        private final Deque<ShardEvent> waiting = new ArrayDeque<>();
         private boolean writing;
         private boolean working;
 
@@ -172,7 +172,7 @@
             this.shard = shard;
         }
 
-        void take(CopyEvent event) {
+        void take(ShardEvent event) {
             waiting.add(event);
             work();
         }
@@ -194,9 +194,9 @@
         }
 
         private void carryOut() {
-            List<CopyAction> due = List.copyOf(actions);
+            List<ShardAction> due = List.copyOf(actions);
             actions.clear();
-            if (world().directories() && due.stream().anyMatch(CopyAction.Persist.class::isInstance)) {
+            if (world().directories() && due.stream().anyMatch(ShardAction.Persist.class::isInstance)) {
                 writing = true;
                 world().agenda().after(WRITE_US, () -> {
                     if (runs()) {
@@ -210,22 +210,22 @@
             }
         }
 
-        private void carryOut(CopyAction action) {
-            if (action instanceof CopyAction.Send send) {
+        private void carryOut(ShardAction action) {
+            if (action instanceof ShardAction.Send send) {
                 send(send.to(), number, send.message());
-            } else if (action instanceof CopyAction.Persist persist) {
+            } else if (action instanceof ShardAction.Persist persist) {
                 persist(persist.slots());
-            } else if (action instanceof CopyAction.Stands stands) {
+            } else if (action instanceof ShardAction.EffectiveOrderChanged stands) {
                 world().orders().stands(host(), stands.key(), stands.acting());
-            } else if (action instanceof CopyAction.Level) {
+            } else if (action instanceof ShardAction.CaughtUpChanged) {
                 levelMayHaveChanged();
-            } else if (action instanceof CopyAction.Acknowledged done) {
+            } else if (action instanceof ShardAction.Acknowledged done) {
                 if (observersOrders.contains(done.id())) {
                     handle(new FeedEvent.Acknowledged(done.id(), done.order()));
                 } else {
                     world().orders().acknowledged(done.id(), done.order());
                 }
-            } else if (action instanceof CopyAction.Refused no) {
+            } else if (action instanceof ShardAction.Refused no) {
                 if (observersOrders.contains(no.id())) {
                     handle(new FeedEvent.Refused(no.id(), no.why()));
                 } else {
@@ -237,7 +237,7 @@
         private void persist(List<Slot> slots) {
             if (world().directories()) {
                 for (Slot slot : slots) {
-                    if (slot.none()) {
+                    if (slot.hasNoHistory()) {
                         host().disk().remove(slot.key());
                     } else {
                         host().disk().put(slot.key(), slot);
--- a/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
@@ -4,9 +4,9 @@
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.Map;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyMessage;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.observe.ObserveMessage;
 import walkpost.fleet.observe.ObserveSettings;
@@ -21,7 +21,7 @@
 
     Watcher(World world, Host host, Life life) {
         super(world, host, life);
-        observer = new Observer(ObserveSettings.usual(), life, "region-" + host.region(), world.voters(), world.agenda().nextSeed());
+        observer = new Observer(ObserveSettings.defaults(), life, "region-" + host.region(), world.voters(), world.agenda().nextSeed());
     }
 
     Observer observer() {
@@ -51,7 +51,7 @@
     }
 
     @Override
-    void received(String from, int shard, CopyMessage message) {
+    void received(String from, int shard, ShardMessage message) {
         // An observer has no shards.
     }
 
@@ -62,7 +62,7 @@
 
     @Override
     void tell(String topic, String subject, String payload) {
-        handle(new ObserverEvent.Tell(topic, subject, payload));
+        handle(new ObserverEvent.WriteEntry(topic, subject, payload));
     }
 
     @Override
@@ -72,12 +72,12 @@
 
     @Override
     boolean level() {
-        return observer.level();
+        return observer.isCaughtUp();
     }
 
     @Override
-    Map<Order.Key, Acting> acting() {
-        return observer.acting();
+    Map<Order.Key, EffectiveOrder> acting() {
+        return observer.effectiveOrders();
     }
 
     private void handle(ObserverEvent event) {
@@ -88,7 +88,7 @@
             ObserverAction action = actions.remove();
             if (action instanceof ObserverAction.Send send) {
                 send(send.to(), send.message());
-            } else if (action instanceof ObserverAction.Stands stands) {
+            } else if (action instanceof ObserverAction.EffectiveOrderChanged stands) {
                 world().orders().stands(host(), stands.key(), stands.acting());
             } else if (action instanceof ObserverAction.Acknowledged done) {
                 world().orders().acknowledged(done.id(), done.order());
--- a/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
@@ -18,8 +18,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.ShardMessage;
+import walkpost.fleet.copy.ShardMessage.Commit;
+import walkpost.fleet.copy.ShardMessage.Entries;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Address;
@@ -81,9 +83,9 @@
         assertThat(codec.decode(codec.encode(member))).isEqualTo(member);
         var key = new Order.Key("exclusion", "tile-1");
         var order = new Order(key, "o1", 2, List.of("o0"), "{\"out\":true}", null, FROM);
-        var hold = new CopyMessage.Hold(4, "o1", new Slot(key, List.of(order), Map.of("o0", 1L), 0));
-        var facts = new CopyMessage.Facts(false, List.of(new Fact(new Fact.Key("load", "n1", "n1"), 17, 1, null, 250)));
-        for (CopyMessage message : List.of(hold, facts)) {
+        var hold = new Commit(4, "o1", new Slot(key, List.of(order), Map.of("o0", 1L), 0));
+        var facts = new Entries(false, List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250)));
+        for (ShardMessage message : List.of(hold, facts)) {
             Envelope copy = Envelope.of(message, 5, "gent", FROM, AT, SHARDS);
             assertThat(codec.decode(codec.encode(copy))).isEqualTo(copy);
         }
@@ -94,19 +96,19 @@
         var key = new Order.Key("exclusion", "tile-1");
         var order = new Order(key, "o1", 2, List.of("o0"), "{\"out\":true}", null, FROM);
         var slots = List.of(new Slot(key, List.of(order), Map.of("o0", 1L), 0), Slot.empty(key));
-        var facts = List.of(new Fact(new Fact.Key("load", "n1", "n1"), 17, 1, null, 250));
+        var facts = List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250));
         return List.of(new ObserveMessage.Join(1, "north", true), new ObserveMessage.Welcome(1, Map.of("v1", "north")),
                 new ObserveMessage.Later(1, ObserveMessage.Reason.FULL, 500), new ObserveMessage.Leave(),
                 new ObserveMessage.Beat(2, false, -7, Long.MAX_VALUE / 4),
                 new ObserveMessage.Echo(2, true, 0, new long[] {1, -2, Long.MIN_VALUE}, Map.of("north", 3, "", 1)),
                 new ObserveMessage.Leaves(2, new int[] {4}, new long[] {-1, 5}),
-                new ObserveMessage.Stamps(2, 0, 2, new int[] {64}, List.of(new CopyMessage.SlotStamp(key, -9))),
+                new ObserveMessage.Stamps(2, 0, 2, new int[] {64}, List.of(new ShardMessage.SlotDigest(key, -9))),
                 new ObserveMessage.Want(2, List.of(key)), new ObserveMessage.Slots(2, 40, slots), new ObserveMessage.Push(8, 40, slots),
                 new ObserveMessage.Taken(8), new ObserveMessage.Offer(40, slots),
                 new ObserveMessage.Call(key, "o2", null, null, 1), new ObserveMessage.Call(key, "o2", "", "{}", 1L << 61),
                 new ObserveMessage.Answer("o1", 1, 2, order, null, null, null, false),
                 new ObserveMessage.Answer("o1", 1, 2, null, "Busy", "it crosses", "wait", true), new ObserveMessage.Report(facts),
-                new ObserveMessage.AskFacts(3, "load"), new ObserveMessage.Facts(3, 0, 1, facts), new ObserveMessage.AskHeld(4, key, "o1"),
+                new ObserveMessage.AskEntries(3, "load"), new ObserveMessage.Entries(3, 0, 1, facts), new ObserveMessage.AskHeld(4, key, "o1"),
                 new ObserveMessage.Held(4, 5, 6, List.of("n9")), new ObserveMessage.Sum("north", Map.of("south", 12)));
     }
 
@@ -225,8 +227,8 @@
 
     @Test
     void aMessageTooLongIsNotSent() {
-        var facts = new CopyMessage.Facts(false,
-                List.of(new Fact(new Fact.Key("load", "n1", "n1"), 17, 1, "x".repeat(Codec.MOST), 0)));
+        var facts = new Entries(false,
+                List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, "x".repeat(Codec.MOST), 0)));
         assertThat(codec.encode(Envelope.of(facts, 0, "gent", FROM, AT, SHARDS))).isNull();
         assertThat(counters.get("dropped_too_long")).isOne();
     }
--- a/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
@@ -26,10 +26,10 @@
 import walkpost.fleet.FleetException.BadCall;
 import walkpost.fleet.FleetException.BadDirectory;
 import walkpost.fleet.FleetException.NotLevel;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.CopySettings;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.ShardMessage.FetchRequest;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
@@ -53,7 +53,7 @@
     private static final class Heard implements FleetListener {
         private record Waiting(Predicate<Object> of, CompletableFuture<Object> done) { }
 
-        private record Stands(Order.Key key, Acting acting) { }
+        private record Stands(Order.Key key, EffectiveOrder acting) { }
 
         private final List<Object> events = new ArrayList<>();
         private final List<Waiting> waiting = new ArrayList<>();
@@ -82,22 +82,22 @@
         }
 
         @Override
-        public void fact(Fact fact) {
+        public void entryReceived(Entry fact) {
             add(fact);
         }
 
         @Override
-        public void stale(Fact.Key key) {
+        public void stale(Entry.Key key) {
             add(key);
         }
 
         @Override
-        public void stands(Order.Key key, Acting acting) {
+        public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
             add(new Stands(key, acting));
         }
 
         @Override
-        public void level(boolean level) {
+        public void caughtUpChanged(boolean level) {
             add(level);
         }
     }
@@ -108,7 +108,7 @@
     }
 
     private Fleet open(FleetFile file, OrderLog.Opener opener) throws FleetException {
-        Fleet fleet = Fleet.open(file, MemberSettings.usual(), CopySettings.usual(), new Directory.Settings(1 << 20, 1), opener);
+        Fleet fleet = Fleet.open(file, MemberSettings.defaults(), ShardSettings.defaults(), new Directory.Settings(1 << 20, 1), opener);
         open.add(fleet);
         return fleet;
     }
@@ -135,7 +135,7 @@
     }
 
     private static Predicate<Object> fact(String writer, String payload) {
-        return event -> event instanceof Fact fact && fact.key().writer().equals(writer) && payload.equals(fact.payload());
+        return event -> event instanceof Entry fact && fact.key().writer().equals(writer) && payload.equals(fact.payload());
     }
 
     private static Predicate<Object> member(String name, Standing standing) {
@@ -154,13 +154,13 @@
         for (Heard one : heard) {
             one.await(event -> event.equals(true));
         }
-        assertThat(fleets).allMatch(Fleet::level);
+        assertThat(fleets).allMatch(Fleet::isCaughtUp);
 
-        fleets.get(1).tell("load", "n2", "{\"busy\":0.5}");
+        fleets.get(1).writeEntry("load", "n2", "{\"busy\":0.5}");
         heard.get(0).await(fact("n2", "{\"busy\":0.5}"));
         heard.get(2).await(fact("n2", "{\"busy\":0.5}"));
-        assertThat(fleets.get(2).facts("load").toCompletableFuture().join().facts()).extracting(Fact::payload).containsExactly("{\"busy\":0.5}");
-        heard.get(2).await(event -> event.equals(new Fact.Key("load", "n2", "n2")));
+        assertThat(fleets.get(2).entries("load").toCompletableFuture().join().facts()).extracting(Entry::payload).containsExactly("{\"busy\":0.5}");
+        heard.get(2).await(event -> event.equals(new Entry.Key("load", "n2", "n2")));
 
         Order order = ordered(fleets.get(2), "o1", "", "{\"out\":true}");
         assertThat(order.issuer().name()).isEqualTo("n3");
@@ -214,7 +214,7 @@
         full.set(true);
         CompletableFuture<Order> first = fleet.order(KEY, "o1", "", "{\"out\":true}").toCompletableFuture();
         heard.await(event -> event.equals(false));
-        assertThat(fleet.level()).isFalse();
+        assertThat(fleet.isCaughtUp()).isFalse();
         assertThat(first).isNotDone();
         assertThatThrownBy(() -> ordered(fleet, "o2", "", null)).hasCauseInstanceOf(BadDirectory.class)
                 .hasMessageContaining("No space left on device");
@@ -231,7 +231,7 @@
         assertThatThrownBy(() -> alone.order(KEY, null, "", null).toCompletableFuture().get(FAILED_S, TimeUnit.SECONDS))
                 .hasCauseInstanceOf(BadCall.class);
         assertThatThrownBy(() -> ordered(alone, "o1", "", "{}")).hasCauseInstanceOf(NotLevel.class);
-        assertThat(alone.level()).isFalse();
+        assertThat(alone.isCaughtUp()).isFalse();
         alone.close();
         assertThatThrownBy(() -> ordered(alone, "o2", "", "{}")).hasCauseInstanceOf(NotLevel.class);
     }
@@ -245,7 +245,7 @@
             var codec = new Codec("gent", 4, SECRET, new Counters());
             var other = new Secret("quite another".repeat(2).getBytes(StandardCharsets.UTF_8));
             var life = new Life("n2", 5);
-            var word = new CopyMessage.Want(List.of(), List.of());
+            var word = new FetchRequest(List.of(), List.of());
             for (int seq = 1; seq <= 2; seq++) {
                 var question = new MemberMessage.Ping(seq, "n1", life, n2.bound(), List.of());
                 byte[] ping = codec.encode(Envelope.of(question, "gent", life, n2.bound(), 4));
--- a/fleet/src/test/java/walkpost/fleet/shell/MemberMain.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/MemberMain.java
@@ -7,10 +7,10 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopySettings;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.member.Member;
 import walkpost.fleet.member.MemberSettings;
 
@@ -24,18 +24,18 @@
         public void member(Member member) { }
 
         @Override
-        public void fact(Fact fact) { }
+        public void entryReceived(Entry fact) { }
 
         @Override
-        public void stale(Fact.Key key) { }
+        public void stale(Entry.Key key) { }
 
         @Override
-        public void stands(Order.Key key, Acting acting) {
+        public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
             tell("stands " + key.subject() + " " + acting.chosen().id() + " " + acting.payload() + " rivals " + acting.rivals().size());
         }
 
         @Override
-        public void level(boolean level) {
+        public void caughtUpChanged(boolean level) {
             tell("level " + level);
         }
     }
@@ -48,7 +48,7 @@
     public static void main(String[] args) throws Exception {
         FleetFile file = FleetFile.read(Path.of(args[0]), Map.of());
         var full = new AtomicBoolean();
-        Fleet fleet = Fleet.open(file, MemberSettings.usual(), CopySettings.usual(), Directory.Settings.USUAL,
+        Fleet fleet = Fleet.open(file, MemberSettings.defaults(), ShardSettings.defaults(), Directory.Settings.USUAL,
                 (path, end) -> new LogFile(path, end) {
                     @Override
                     void write(byte[] record) throws IOException {
@@ -71,7 +71,7 @@
                 fleet.held(new Order.Key("exclusion", words[1]), words[2])
                         .thenAccept(found -> tell("held " + found.held() + " of " + found.of() + " silent " + found.silent()));
             } else if (words[0].equals("state")) {
-                tell("state level " + fleet.level() + " feeds " + fleet.feeds() + " members " + fleet.members() + " " + fleet.counters());
+                tell("state level " + fleet.isCaughtUp() + " feeds " + fleet.feeds() + " members " + fleet.members() + " " + fleet.counters());
             } else if (words[0].equals("full")) {
                 full.set(true);
                 tell("full");
--- a/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import walkpost.fleet.FleetException;
 import walkpost.fleet.FleetException.BadCall;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.CopySettings;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardMessage;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
@@ -60,7 +60,7 @@
     private static final class Known implements FleetListener {
         private record Waiting(Predicate<Known> of, CompletableFuture<Known> done) { }
 
-        private final Map<Order.Key, Acting> standing = new LinkedHashMap<>();
+        private final Map<Order.Key, EffectiveOrder> standing = new LinkedHashMap<>();
         private final List<Waiting> waiting = new ArrayList<>();
         private final List<String> payloads = new ArrayList<>();
         private boolean level;
@@ -82,8 +82,8 @@
             one.done.get(FAILED_S, TimeUnit.SECONDS);
         }
 
-        private boolean stands(String payload) {
-            Acting acting = standing.get(KEY);
+        private boolean effectiveOrderChanged(String payload) {
+            EffectiveOrder acting = standing.get(KEY);
             return acting != null && payload.equals(acting.payload());
         }
 
@@ -91,13 +91,13 @@
         public void member(Member member) { }
 
         @Override
-        public void fact(Fact fact) { }
+        public void entryReceived(Entry fact) { }
 
         @Override
-        public void stale(Fact.Key key) { }
+        public void stale(Entry.Key key) { }
 
         @Override
-        public void stands(Order.Key key, Acting acting) {
+        public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
             now(() -> {
                 standing.put(key, acting);
                 payloads.add(acting.payload());
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public void level(boolean now) {
+        public void caughtUpChanged(boolean now) {
             now(() -> level = now);
         }
 
@@ -156,7 +156,7 @@
 
     /** A voter whose disk takes nothing more once it is told so: what it decides or hears of stays where it is. */
     private Fleet openWithDisk(String name, AtomicBoolean full) throws FleetException {
-        Fleet fleet = Fleet.open(file(name, Loopback.ANY, true), MemberSettings.usual(), CopySettings.usual(),
+        Fleet fleet = Fleet.open(file(name, Loopback.ANY, true), MemberSettings.defaults(), ShardSettings.defaults(),
                 new Directory.Settings(1 << 20, 1), (path, end) -> new LogFile(path, end) {
                     @Override
                     void write(byte[] record) throws IOException {
@@ -188,7 +188,7 @@
         known.get("v2").await(k -> !k.level);
         assertThat(ends.counters()).containsEntry("feed_slots", 0L);
         open.remove("v2").close();
-        awaitAll(k -> k.stands(OUT));
+        awaitAll(k -> k.effectiveOrderChanged(OUT));
         known.remove("v2");
         known.values().forEach(k -> assertThat(k.payloads).containsExactly(OUT));
         asked(() -> open.get("o1").held(KEY, "a"), found -> found.held() == 8 && found.of() == 8 && found.silent().equals(List.of("v2")));
@@ -215,7 +215,7 @@
         openAll(false);
         Order order = ordered(open.get("o4"), "a", "", OUT);
         assertThat(VOTERS).contains(order.issuer().name());
-        awaitAll(k -> k.stands(OUT));
+        awaitAll(k -> k.effectiveOrderChanged(OUT));
         for (String asker : List.of("o2", "v1")) {
             Coverage all = asked(() -> open.get(asker).held(KEY, "a"), found -> found.held() == 9);
             assertThat(all).isEqualTo(new Coverage(9, 9, List.of(), List.of()));
@@ -246,7 +246,7 @@
         Order order = first.get(FAILED_S, TimeUnit.SECONDS);
         assertThat(second.get(FAILED_S, TimeUnit.SECONDS).id()).isEqualTo("a");
         assertThat(third.handle((given, why) -> why == null || why instanceof FleetException.Busy).get(FAILED_S, TimeUnit.SECONDS)).isTrue();
-        awaitAll(k -> k.stands(OUT));
+        awaitAll(k -> k.effectiveOrderChanged(OUT));
         for (Fleet fleet : open.values()) {
             assertThat(fleet.orders().get(KEY).chosen().id()).isEqualTo("a");
             assertThat(fleet.orders().get(KEY).chosen().version()).isEqualTo(order.version());
@@ -258,16 +258,16 @@
     @Test
     void factsOfAllAreFoundByAskingTheVoters() throws Exception {
         openAll(false);
-        open.get("o1").tell("proxy", "o1", "{\"a\":1}");
-        open.get("v2").tell("proxy", "v2", "{\"b\":2}");
+        open.get("o1").writeEntry("proxy", "o1", "{\"a\":1}");
+        open.get("v2").writeEntry("proxy", "v2", "{\"b\":2}");
         for (String asker : List.of("o6", "v1")) {
-            FactsHeard heard = asked(() -> open.get(asker).facts("proxy"), found -> found.facts().size() == 2 && found.silent().isEmpty());
-            assertThat(heard.facts().stream().collect(Collectors.toMap(fact -> fact.key().writer(), Fact::payload)))
+            TopicEntries heard = asked(() -> open.get(asker).entries("proxy"), found -> found.facts().size() == 2 && found.silent().isEmpty());
+            assertThat(heard.facts().stream().collect(Collectors.toMap(fact -> fact.key().writer(), Entry::payload)))
                     .isEqualTo(Map.of("o1", "{\"a\":1}", "v2", "{\"b\":2}"));
             assertThat(heard.facts()).allMatch(fact -> fact.ageUs() >= 0 && fact.ageUs() < FAILED_S * 1_000_000L);
         }
         open.get("v3").close();
-        FactsHeard without = open.get("o6").facts("proxy").toCompletableFuture().get(FAILED_S, TimeUnit.SECONDS);
+        TopicEntries without = open.get("o6").entries("proxy").toCompletableFuture().get(FAILED_S, TimeUnit.SECONDS);
         assertThat(without.silent()).containsExactly("v3");
         assertThat(without.facts()).hasSize(2);
     }
@@ -281,7 +281,7 @@
         // What the one that ended has decided, or another: the caller gets the one answer, and all hold the order. If it ended between the
         // promises and the decision, these outlast the call: then the answer is 'Uncertain', and the same order is sent again as that says.
         assertThat(sentAgainWhileUncertain(answer).id()).isEqualTo("a");
-        awaitAll(k -> k.stands(OUT));
+        awaitAll(k -> k.effectiveOrderChanged(OUT));
         known.remove(feed);
         known.values().forEach(k -> assertThat(k.payloads).containsExactly(OUT));
         known.get("o2").await(k -> open.get("o2").feeds().size() == 2 && !open.get("o2").feeds().contains(feed));
@@ -303,13 +303,13 @@
     private void allVotersEndAndComeBack(boolean onDisk) throws Exception {
         openAll(onDisk);
         ordered(open.get("o1"), "a", "", OUT);
-        awaitAll(k -> k.stands(OUT));
+        awaitAll(k -> k.effectiveOrderChanged(OUT));
         var addresses = new LinkedHashMap<String, Address>();
         VOTERS.forEach(name -> addresses.put(name, open.get(name).address()));
         VOTERS.forEach(name -> open.remove(name).close());
         for (String name : OBSERVERS) {
             known.get(name).await(k -> !k.level);
-            assertThat(open.get(name).level()).isFalse();
+            assertThat(open.get(name).isCaughtUp()).isFalse();
             assertThat(open.get(name).orders().get(KEY).payload()).isEqualTo(OUT);
             assertThat(open.get(name).controlAgeUs()).isBetween(1L, FleetHandle.NEVER_US - 1);
         }
@@ -317,7 +317,7 @@
         for (String name : VOTERS) {
             open(name, addresses.get(name), onDisk);
         }
-        awaitAll(k -> k.level && k.stands(OUT));
+        awaitAll(k -> k.level && k.effectiveOrderChanged(OUT));
         for (String name : OBSERVERS) {
             assertThat(known.get(name).payloads).as(name).containsExactly(OUT);
         }
@@ -325,7 +325,7 @@
             assertThat(fleet.orders().get(KEY).chosen().id()).as(fleet.name()).isEqualTo("a");
         }
         assertThat(ordered(open.get("o3"), "c", "a", "{\"out\":false}").replaces()).containsExactly("a");
-        awaitAll(k -> k.stands("{\"out\":false}"));
+        awaitAll(k -> k.effectiveOrderChanged("{\"out\":false}"));
     }
 
     @Test
@@ -352,7 +352,7 @@
             others.add(transport);
         }
 
-        private void say(Fleet to, CopyMessage message) {
+        private void say(Fleet to, ShardMessage message) {
             transport.send(to.address(), codec.encode(Envelope.of(message, 0, "gent", life, transport.bound(), SHARDS)), false);
         }
 
@@ -385,14 +385,14 @@
         var forger = new Forger("o9", 5);
         forger.ping(voter);
         var order = new Order(KEY, "forged", 1, List.of(), OUT, null, forger.life);
-        List<CopyMessage> votes = List.of(new CopyMessage.Promised(1, "a"), new CopyMessage.Held(1, "a"),
-                new CopyMessage.Compare(1, 0, 0, null), new CopyMessage.Nodes(1, 0, new long[0], new long[0]),
-                new CopyMessage.Hold(1, "forged", new Slot(KEY, List.of(order), Map.of(), 0)));
+        List<ShardMessage> votes = List.of(new ShardMessage.Promised(1, "a"), new ShardMessage.Committed(1, "a"),
+                new ShardMessage.CompareRoots(1, 0, 0, null), new ShardMessage.NodeHashes(1, 0, new long[0], new long[0]),
+                new ShardMessage.Commit(1, "forged", new Slot(KEY, List.of(order), Map.of(), 0)));
         votes.forEach(vote -> forger.say(voter, vote));
         forger.ping(voter);
         assertThat(voter.counters()).containsEntry("dropped_no_voter", (long) votes.size());
         assertThat(voter.orders()).isEmpty();
-        assertThat(voter.level()).isFalse();
+        assertThat(voter.isCaughtUp()).isFalse();
     }
 
     @Test
@@ -409,7 +409,7 @@
         stranger.ping(all);
         second.ping(voter);
         stranger.say(all, new ObserveMessage.Leave());
-        stranger.say(observer, new CopyMessage.Promised(1, "a"));
+        stranger.say(observer, new ShardMessage.Promised(1, "a"));
         stranger.say(observer, new ObserveMessage.Push(1, 0, List.of(new Slot(KEY,
                 List.of(new Order(KEY, "forged", 1, List.of(), OUT, null, stranger.life)), Map.of(), 0))));
         stranger.say(voter, new ObserveMessage.Sum("north", Map.of("north", 1_000)));
@@ -489,7 +489,7 @@
     @Test
     void whereAllMembersVoteNobodyCountsWhoHoldsAnOrder() throws Exception {
         Fleet alone = Fleet.open(new FleetFile("gent", "n1", Loopback.ANY, null, List.of("n1"), List.of(), SECRET, null, SHARDS, Map.of()),
-                MemberSettings.usual(), CopySettings.usual(), Directory.Settings.USUAL, LogFile::new);
+                MemberSettings.defaults(), ShardSettings.defaults(), Directory.Settings.USUAL, LogFile::new);
         others.add(alone);
         assertThatThrownBy(() -> alone.held(KEY, "a").toCompletableFuture().get(FAILED_S, TimeUnit.SECONDS))
                 .hasCauseInstanceOf(BadCall.class);
--- a/fleet/src/test/java/walkpost/fleet/shell/ShardLaneTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/ShardLaneTest.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.RejectedExecutionException;
 import org.junit.jupiter.api.Test;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.CopySettings;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Shard;
+import walkpost.fleet.copy.ShardEvent;
+import walkpost.fleet.copy.ShardMessage;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.Member;
@@ -30,10 +30,10 @@
     private final Counters counters = new Counters();
     private final List<String> done = new ArrayList<>();
     private long nowUs = 1_000_000;
-    private final ShardLane lane = new ShardLane(0, new Shard(CopySettings.usual(), SELF, Set.of("n1"), 1), "n1", () -> nowUs, counters,
+    private final ShardLane lane = new ShardLane(0, new Shard(ShardSettings.defaults(), SELF, Set.of("n1"), 1), "n1", () -> nowUs, counters,
             pool::add, null, new ShardLane.Surroundings() {
                 @Override
-                public void send(int shard, String to, CopyMessage message) {
+                public void send(int shard, String to, ShardMessage message) {
                     done.add("send " + to);
                 }
 
@@ -65,22 +65,22 @@
         }
 
         @Override
-        public void fact(Fact fact) {
+        public void entryReceived(Entry fact) {
             done.add("fact " + fact.payload());
         }
 
         @Override
-        public void stale(Fact.Key key) {
+        public void stale(Entry.Key key) {
             done.add("stale " + key.subject());
         }
 
         @Override
-        public void stands(Order.Key key, Acting acting) {
+        public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
             done.add("stands " + acting.payload());
         }
 
         @Override
-        public void level(boolean level) {
+        public void caughtUpChanged(boolean level) {
             done.add("all level " + level);
         }
     }
@@ -91,9 +91,9 @@
         }
     }
 
-    private static CopyEvent.Received fact(int version) {
-        return new CopyEvent.Received("n2", new CopyMessage.Facts(false,
-                List.of(new Fact(new Fact.Key("load", "n2", "n2"), 1, version, "v" + version, 0))));
+    private static ShardEvent.Received fact(int version) {
+        return new ShardEvent.Received("n2", new ShardMessage.Entries(false,
+                List.of(new Entry(new Entry.Key("load", "n2", "n2"), 1, version, "v" + version, 0))));
     }
 
     @Test
@@ -101,8 +101,8 @@
         lane.listen(new Outlet(Runnable::run, new Heard()), topic -> 10_000_000);
         lane.tick();
         run();
-        lane.offer(new CopyEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
-        lane.offer(new CopyEvent.Propose(new Order.Key("exclusion", "t"), "o2", "", "{}"));
+        lane.offer(new ShardEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
+        lane.offer(new ShardEvent.Propose(new Order.Key("exclusion", "t"), "o2", "", "{}"));
         run();
         assertThat(done.get(0)).isEqualTo("level true");
         assertThat(done).containsSubsequence("level true", "changed t", "acknowledged o1").contains("refused o2", "stands {}");
@@ -111,9 +111,9 @@
     @Test
     void whoListensLateHearsFirstWhatWasToldBefore() {
         lane.tick();
-        lane.offer(new CopyEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
+        lane.offer(new ShardEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
         run();
-        lane.offer(new CopyEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
+        lane.offer(new ShardEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
         lane.offer(fact(1), 10);
         lane.offer(fact(2), 10);
         run();
@@ -128,12 +128,12 @@
     void factsHaveGrownOlderByWhatTheyWaited() {
         lane.offer(fact(1), 10);
         run();
-        long at = lane.facts("load").get(0).ageUs();
+        long at = lane.entries("load").get(0).ageUs();
         lane.offer(fact(2), 10);
         // No longer than what the shard itself takes for a stop, for which it counts once more.
         nowUs += 90_000;
         run();
-        assertThat(lane.facts("load")).extracting(Fact::payload, Fact::ageUs).containsExactly(tuple("v2", at + 90_000));
+        assertThat(lane.entries("load")).extracting(Entry::payload, Entry::ageUs).containsExactly(tuple("v2", at + 90_000));
     }
 
     @Test
@@ -169,13 +169,13 @@
         private boolean failed;
 
         @Override
-        public void fact(Fact fact) {
+        public void entryReceived(Entry fact) {
             if (!failed) {
                 failed = true;
                 done.add("failed");
                 throw new IllegalStateException("the test's");
             }
-            heard.fact(fact);
+            heard.entryReceived(fact);
         }
 
         @Override
@@ -184,18 +184,18 @@
         }
 
         @Override
-        public void stale(Fact.Key key) {
+        public void stale(Entry.Key key) {
             heard.stale(key);
         }
 
         @Override
-        public void stands(Order.Key key, Acting acting) {
-            heard.stands(key, acting);
+        public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
+            heard.effectiveOrderChanged(key, acting);
         }
 
         @Override
-        public void level(boolean level) {
-            heard.level(level);
+        public void caughtUpChanged(boolean level) {
+            heard.caughtUpChanged(level);
         }
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/shell/TurnsTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/TurnsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import walkpost.fleet.Machine;
+import walkpost.fleet.StateMachine;
 
 /** A machine's events and what comes of them, on a clock and by a thread of the test's; and a member's part in a pool. */
 final class TurnsTest {
@@ -24,7 +24,7 @@
     private final List<String> done = new ArrayList<>();
     private long nowUs = 1_000_000;
     /** Says each event twice, and fails at one. */
-    private final Machine<String, String> machine = (atUs, event, actions) -> {
+    private final StateMachine<String, String> machine = (atUs, event, actions) -> {
         if (event.equals("bad")) {
             throw new IllegalStateException("the test's");
         }
--- a/fleet/src/test/java/walkpost/fleet/shell/Wire.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/Wire.java
@@ -1,7 +1,7 @@
 package walkpost.fleet.shell;
 
 import java.nio.charset.StandardCharsets;
-import walkpost.fleet.copy.CopyMessage;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.MemberMessage;
@@ -33,7 +33,7 @@
         return codec.encode(Envelope.of(message, cluster, from, at, shards));
     }
 
-    public byte[] encode(Life from, Address at, int shard, CopyMessage message) {
+    public byte[] encode(Life from, Address at, int shard, ShardMessage message) {
         return codec.encode(Envelope.of(message, shard, cluster, from, at, shards));
     }
 
--- a/fleet/src/test/java/walkpost/fleet/sim/FaultInjection.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/FaultInjection.java
@@ -1,8 +1,8 @@
 package walkpost.fleet.sim;
 
 import java.util.List;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyEvent;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.MemberEvent;
 import walkpost.fleet.observe.FeedAction;
@@ -15,7 +15,7 @@
  */
 class FaultInjection {
     /** Returns the events that reach a shard in place of an event. */
-    List<CopyEvent> replaceEvent(Node node, int shard, CopyEvent event) {
+    List<ShardEvent> replaceEvent(Node node, int shard, ShardEvent event) {
         return List.of(event);
     }
 
@@ -25,7 +25,7 @@
     }
 
     /** Returns the actions that a shard's owner carries out in place of an action. */
-    List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
+    List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
         return List.of(action);
     }
 
--- a/fleet/src/test/java/walkpost/fleet/sim/Node.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Node.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.CopyMessage;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Shard;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardEvent;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
@@ -126,9 +126,9 @@
     }
 
     /** Delivers a message to a shard of this node that no member has sent. */
-    void deliverForged(int shard, String from, CopyMessage message) {
+    void deliverForged(int shard, String from, ShardMessage message) {
         Process reader = process;
-        time.after(SimClock.MILLI_US, () -> reader.receive(() -> reader.replicas.get(shard).handle(new CopyEvent.Received(from, message))));
+        time.after(SimClock.MILLI_US, () -> reader.receive(() -> reader.replicas.get(shard).handle(new ShardEvent.Received(from, message))));
     }
 
     /** Returns the total time for which processes of this node were suspended, by its clock. */
@@ -198,7 +198,7 @@
             if (directory && holdsReplicas) {
                 long awayUs = Math.max(0, wallMs() - endedMs) * 1000;
                 replicas.forEach(replica -> replica.handle(
-                        new CopyEvent.Restored(fleet.faultInjection.restored(List.copyOf(disk(replica.shard))), awayUs)));
+                        new ShardEvent.Restored(fleet.faultInjection.restored(List.copyOf(disk(replica.shard))), awayUs)));
                 if (feed != null) {
                     replicas.forEach(replica -> feed.slotsChanged(replica.machine.slots()));
                 }
@@ -221,7 +221,7 @@
             }
             for (ShardReplica replica : replicas) {
                 if (isRunning()) {
-                    replica.handle(new CopyEvent.Tick());
+                    replica.handle(new ShardEvent.Tick());
                 }
             }
             tickFeedAndObserver();
@@ -258,7 +258,7 @@
                 tickDue = false;
                 burst.add(time.below(burst.size() + 1), () -> {
                     handle(new MemberEvent.Tick());
-                    replicas.forEach(replica -> replica.handle(new CopyEvent.Tick()));
+                    replicas.forEach(replica -> replica.handle(new ShardEvent.Tick()));
                     tickFeedAndObserver();
                 });
             }
@@ -321,7 +321,7 @@
             if (observer != null && isRunning()) {
                 observer.handle(new ObserverEvent.Voters(living));
             }
-            CopyEvent.Peers peers = new CopyEvent.Peers(living);
+            ShardEvent.LivePeers peers = new ShardEvent.LivePeers(living);
             for (ShardReplica replica : replicas) {
                 if (isRunning()) {
                     replica.handle(peers);
@@ -337,7 +337,7 @@
         final Shard machine;
         /** The state that the oracle keeps about this replica. */
         final Oracle.View view = new Oracle.View();
-        private final ActionQueue<CopyAction> out;
+        private final ActionQueue<ShardAction> out;
         private List<Slot> slotsBeingWritten;
 
         ShardReplica(Process owner, int shard, Shard machine) {
@@ -347,15 +347,15 @@
             out = new ActionQueue<>(owner, time, this::carryOut);
         }
 
-        void handle(CopyEvent event) {
-            for (CopyEvent injectedEvent : fleet.faultInjection.replaceEvent(Node.this, shard, event)) {
+        void handle(ShardEvent event) {
+            for (ShardEvent injectedEvent : fleet.faultInjection.replaceEvent(Node.this, shard, event)) {
                 if (process != owner) {
                     return;
                 }
-                List<CopyAction> actions = new ArrayList<>();
+                List<ShardAction> actions = new ArrayList<>();
                 machine.handle(clockUs(), injectedEvent, actions::add);
-                for (CopyAction action : actions) {
-                    for (CopyAction injectedAction : fleet.faultInjection.replaceAction(Node.this, shard, action)) {
+                for (ShardAction action : actions) {
+                    for (ShardAction injectedAction : fleet.faultInjection.replaceAction(Node.this, shard, action)) {
                         fleet.oracle.emitted(this, injectedAction);
                         out.add(injectedAction);
                     }
@@ -364,13 +364,13 @@
             out.drain();
         }
 
-        private void carryOut(CopyAction action, long createdUs) {
-            if (action instanceof CopyAction.Send send) {
-                boolean carriesEntries = send.message() instanceof CopyMessage.Facts;
+        private void carryOut(ShardAction action, long createdUs) {
+            if (action instanceof ShardAction.Send send) {
+                boolean carriesEntries = send.message() instanceof ShardMessage.Entries;
                 if (time.nowUs() - createdUs <= (carriesEntries ? MAX_ENTRY_SEND_DELAY_US : MAX_SEND_DELAY_US)) {
                     fleet.send(this, send);
                 }
-            } else if (action instanceof CopyAction.Persist persist) {
+            } else if (action instanceof ShardAction.Persist persist) {
                 persist(persist.slots());
             } else {
                 fleet.oracle.carriedOut(this, action);
@@ -406,7 +406,7 @@
         private void write(List<Slot> slots) {
             for (Slot slot : slots) {
                 disk.get(shard).remove(slot.key());
-                if (!slot.none()) {
+                if (!slot.hasNoHistory()) {
                     disk.get(shard).put(slot.key(), slot);
                 }
             }
--- a/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import walkpost.fleet.copy.Acting;
+import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.observe.ObserveMessage;
@@ -24,7 +24,7 @@
     private static final double MIN_CLOCK_RATE = 0.98;
     /** A copy that no caught-up voter has confirmed for this time, by the slowest clock, is no longer caught up. */
     private static final long MAX_UNCONFIRMED_US =
-            (long) ((ObserveSettings.usual().silenceUs() + ObserveSettings.usual().beatUs()) / MIN_CLOCK_RATE) + 100 * SimClock.MILLI_US;
+            (long) ((ObserveSettings.defaults().silenceUs() + ObserveSettings.defaults().beatUs()) / MIN_CLOCK_RATE) + 100 * SimClock.MILLI_US;
 
     /**
      * A message that a voter has sent.
@@ -36,7 +36,7 @@
 
     /** What one life of an observer has reported so far. */
     static final class View {
-        private final Map<Order.Key, Acting> effectiveOrders = new HashMap<>();
+        private final Map<Order.Key, EffectiveOrder> effectiveOrders = new HashMap<>();
         private final Set<String> replaced = new HashSet<>();
         private final Set<String> acted = new HashSet<>();
         /** The answers of caught-up voters to heartbeats that the observer has read. */
@@ -68,10 +68,10 @@
 
     /** Checks an action that an observer's state machine has emitted. */
     void emitted(SimulatedObserver observer, ObserverAction action) {
-        if (action instanceof ObserverAction.Stands reported) {
+        if (action instanceof ObserverAction.EffectiveOrderChanged reported) {
             fleet.time.log("%s acts on %s: %s", name(observer), reported.key(), reported.acting());
             checkOrder(observer, reported.key(), reported.acting());
-        } else if (action instanceof ObserverAction.Level reported) {
+        } else if (action instanceof ObserverAction.CaughtUpChanged reported) {
             fleet.time.log("%s caught up: %s", name(observer), reported.level());
             if (reported.level()) {
                 checkConfirmed(observer);
@@ -80,7 +80,7 @@
         }
     }
 
-    private void checkOrder(SimulatedObserver observer, Order.Key key, Acting order) {
+    private void checkOrder(SimulatedObserver observer, Order.Key key, EffectiveOrder order) {
         View view = observer.view;
         List<Order> heads = heads(order);
         heads.forEach(oracle::checkDecided);
@@ -136,10 +136,10 @@
             throw new Violation(Rule.AGE, name(observer) + " reports that its copy was in sync " + ageUs + " us ago, "
                     + "but no caught-up voter has answered it for " + trueUs + " us");
         }
-        if (observer.machine.level()) {
+        if (observer.machine.isCaughtUp()) {
             checkConfirmed(observer);
-            observer.machine.acting().forEach((key, order) -> {
-                Acting reported = observer.view.effectiveOrders.get(key);
+            observer.machine.effectiveOrders().forEach((key, order) -> {
+                EffectiveOrder reported = observer.view.effectiveOrders.get(key);
                 if (!order.equals(reported) && (order.payload() != null || reported != null && reported.payload() != null)) {
                     throw new Violation(Rule.ACTING, name(observer) + " holds " + order + " and reported " + reported);
                 }
@@ -157,7 +157,7 @@
         Set<String> acted = new HashSet<>();
         live.forEach(observer -> acted.addAll(observer.view.acted));
         for (SimulatedObserver observer : live) {
-            if (!observer.machine.level()) {
+            if (!observer.machine.isCaughtUp()) {
                 throw new Violation(Rule.SERVES, name(observer) + " is not caught up though no fault is left");
             }
             Set<Order.Key> keys = new HashSet<>(slots.keySet());
@@ -213,7 +213,7 @@
         return heads.stream().allMatch(head -> head.payload() == null);
     }
 
-    private static List<Order> heads(Acting order) {
+    private static List<Order> heads(EffectiveOrder order) {
         if (order == null || order.chosen() == null) {
             return List.of();
         }
--- a/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
@@ -13,11 +13,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Member;
 import walkpost.fleet.member.Standing;
@@ -77,8 +77,8 @@
         /** The time in transit by payload, summed over all hops. */
         private final Map<String, Long> transitUs = new HashMap<>();
         private final Set<String> heardFrom = new HashSet<>();
-        private final Map<Order.Key, Acting> effectiveOrders = new HashMap<>();
-        private final Map<Fact.Key, Fact> freshEntries = new HashMap<>();
+        private final Map<Order.Key, EffectiveOrder> effectiveOrders = new HashMap<>();
+        private final Map<Entry.Key, Entry> freshEntries = new HashMap<>();
         private final Map<Order.Key, Set<String>> heads = new HashMap<>();
         private final Set<String> replaced = new HashSet<>();
         private final Map<Order.Key, Promise> promises = new HashMap<>();
@@ -100,7 +100,7 @@
     private final Map<String, Set<String>> promisedBy = new HashMap<>();
     private final Map<String, Set<String>> holders = new HashMap<>();
     private final Map<String, Long> writtenAtUs = new HashMap<>();
-    private final Map<Fact.Key, Written> lastWritten = new HashMap<>();
+    private final Map<Entry.Key, Written> lastWritten = new HashMap<>();
     private final Set<Round> abandonedRounds = new HashSet<>();
     private final Map<String, Long> lastKilledUs = new HashMap<>();
     private final Set<Call> probes = new HashSet<>();
@@ -147,7 +147,7 @@
         if (payload != null) {
             writtenAtUs.put(payload, fleet.time.nowUs());
         }
-        lastWritten.put(new Fact.Key(topic, subject, process.node().name), new Written(fleet.time.nowUs(), payload));
+        lastWritten.put(new Entry.Key(topic, subject, process.node().name), new Written(fleet.time.nowUs(), payload));
     }
 
     /** Records the end of a process. Calls that it has not answered become uncertain. */
@@ -228,8 +228,8 @@
     // Messages and actions of members.
 
     /** Records the arrival of a message. The transit time of its entries is recorded here, because members can only estimate it. */
-    void arrived(Node.ShardReplica replica, Node.ShardReplica from, CopyMessage message, long sentUs) {
-        if (message instanceof CopyMessage.Facts entries) {
+    void arrived(Node.ShardReplica replica, Node.ShardReplica from, ShardMessage message, long sentUs) {
+        if (message instanceof ShardMessage.Entries entries) {
             long hopUs = fleet.time.nowUs() - sentUs + MAX_HOP_WAIT_US;
             entries.facts().forEach(entry -> replica.view.transitUs.merge(entry.payload(),
                     from.view.transitUs.getOrDefault(entry.payload(), 0L) + hopUs, Math::max));
@@ -244,10 +244,10 @@
     }
 
     /** Checks an action that a replica's state machine has emitted. */
-    void emitted(Node.ShardReplica replica, CopyAction action) {
+    void emitted(Node.ShardReplica replica, ShardAction action) {
         View view = replica.view;
         String name = replica.owner.node().name;
-        if (action instanceof CopyAction.Level reported) {
+        if (action instanceof ShardAction.CaughtUpChanged reported) {
             fleet.time.log("%s[%d] caught up: %s", name, replica.shard, reported.level());
             if (reported.level()) {
                 view.heardFrom.add(name);
@@ -261,7 +261,7 @@
                 view.mustCatchUp = false;
             }
             view.caughtUp = reported.level();
-        } else if (action instanceof CopyAction.Stands reported) {
+        } else if (action instanceof ShardAction.EffectiveOrderChanged reported) {
             fleet.time.log("%s[%d] acts on %s: %s", name, replica.shard, reported.key(), reported.acting());
             checkCaughtUp(replica, action);
             if (reported.acting().chosen() != null) {
@@ -269,19 +269,19 @@
             }
             reported.acting().rivals().forEach(this::checkDecided);
             view.effectiveOrders.put(reported.key(), reported.acting());
-        } else if (action instanceof CopyAction.Heard reported) {
+        } else if (action instanceof ShardAction.EntryReceived reported) {
             if (reported.fact().payload() == null) {
                 view.freshEntries.remove(reported.fact().key());
             } else {
                 view.freshEntries.put(reported.fact().key(), reported.fact());
             }
-        } else if (action instanceof CopyAction.Stale reported) {
+        } else if (action instanceof ShardAction.EntryStale reported) {
             view.freshEntries.remove(reported.key());
-        } else if (action instanceof CopyAction.Acknowledged reported) {
+        } else if (action instanceof ShardAction.Acknowledged reported) {
             checkHeld(reported.order());
-        } else if (action instanceof CopyAction.Persist reported) {
+        } else if (action instanceof ShardAction.Persist reported) {
             observe(reported.slots(), replica.owner.node(), !directories);
-        } else if (action instanceof CopyAction.Send send) {
+        } else if (action instanceof ShardAction.Send send) {
             sent(replica, send);
         }
     }
@@ -292,12 +292,12 @@
         }
     }
 
-    private void sent(Node.ShardReplica replica, CopyAction.Send send) {
-        CopyMessage message = send.message();
-        if (message instanceof CopyMessage.Propose proposal) {
+    private void sent(Node.ShardReplica replica, ShardAction.Send send) {
+        ShardMessage message = send.message();
+        if (message instanceof ShardMessage.Propose proposal) {
             promisedBy.computeIfAbsent(proposal.order().id(), id -> new TreeSet<>()).add(replica.owner.node().name);
             proposedAtUs.putIfAbsent(proposal.order(), fleet.time.nowUs());
-        } else if (message instanceof CopyMessage.Promised promised) {
+        } else if (message instanceof ShardMessage.Promised promised) {
             checkCaughtUp(replica, message);
             fleet.time.log("%s[%d] promises %s round %d", replica.owner.node().name, replica.shard, promised.id(), promised.round());
             promisedBy.computeIfAbsent(promised.id(), id -> new TreeSet<>()).add(replica.owner.node().name);
@@ -314,10 +314,10 @@
                 throw new Violation(Rule.PROMISE, replica.owner.node().name + " promises " + key + " to both " + previous.id
                         + " and " + promised.id());
             }
-        } else if (message instanceof CopyMessage.Forget release) {
+        } else if (message instanceof ShardMessage.ReleasePromise release) {
             fleet.time.log("%s[%d] abandons round %d", replica.owner.node().name, replica.shard, release.round());
             abandonedRounds.add(new Round(replica.owner.node().name, release.round()));
-        } else if (message instanceof CopyMessage.Held) {
+        } else if (message instanceof ShardMessage.Committed) {
             checkCaughtUp(replica, message);
         }
     }
@@ -335,10 +335,10 @@
     }
 
     /** Records a shard's answer to an order, which an operator has given to this process or an observer has forwarded to it. */
-    void carriedOut(Node.ShardReplica replica, CopyAction action) {
-        if (action instanceof CopyAction.Acknowledged reported) {
+    void carriedOut(Node.ShardReplica replica, ShardAction action) {
+        if (action instanceof ShardAction.Acknowledged reported) {
             acknowledged(replica.owner, reported.id(), reported.order());
-        } else if (action instanceof CopyAction.Refused reported) {
+        } else if (action instanceof ShardAction.Refused reported) {
             refused(replica.owner, reported.id(), reported.why());
         }
     }
@@ -382,14 +382,14 @@
     }
 
     private void checkEntries(Node.ShardReplica replica) {
-        for (Fact entry : replica.view.freshEntries.values()) {
-            if (trueAgeUs(replica, entry) > SimulatedFleet.COPY.bound(entry.key().topic()) + MAX_HOP_WAIT_US) {
+        for (Entry entry : replica.view.freshEntries.values()) {
+            if (trueAgeUs(replica, entry) > SimulatedFleet.COPY.stalenessBoundUs(entry.key().topic()) + MAX_HOP_WAIT_US) {
                 throw new Violation(Rule.AGE, replica.owner.node().name + " acts on " + entry + ", which is at least "
                         + trueAgeUs(replica, entry) + " us old");
             }
         }
         for (String topic : SimulatedFleet.ENTRY_TOPICS) {
-            for (Fact entry : replica.machine.facts(topic, replica.owner.node().clockUs())) {
+            for (Entry entry : replica.machine.entries(topic, replica.owner.node().clockUs())) {
                 if (trueAgeUs(replica, entry) > entry.ageUs()) {
                     throw new Violation(Rule.AGE, replica.owner.node().name + " reports " + entry + ", which is at least "
                             + trueAgeUs(replica, entry) + " us old");
@@ -399,7 +399,7 @@
     }
 
     /** Returns the minimum age of an entry by any clock, without its time in transit, which members can only estimate. */
-    private long trueAgeUs(Node.ShardReplica replica, Fact entry) {
+    private long trueAgeUs(Node.ShardReplica replica, Entry entry) {
         long nowUs = fleet.time.nowUs();
         return (long) ((nowUs - writtenAtUs.getOrDefault(entry.payload(), nowUs)
                 - replica.view.transitUs.getOrDefault(entry.payload(), 0L)) * MIN_CLOCK_RATE);
@@ -409,7 +409,7 @@
         View view = replica.view;
         String name = replica.owner.node().name;
         Collection<Slot> slots = replica.machine.slots();
-        Map<Order.Key, Acting> effectiveOrders = replica.machine.acting();
+        Map<Order.Key, EffectiveOrder> effectiveOrders = replica.machine.effectiveOrders();
         observe(slots, replica.owner.node(), !directories);
         Map<Order.Key, Slot> byKey = new HashMap<>();
         for (Slot slot : slots) {
@@ -435,7 +435,7 @@
     }
 
     /** Checks that the order in effect follows from the heads of its slot, and equals the order that the member has reported. */
-    static void checkEffectiveOrder(String name, List<Order> heads, Acting order, Acting reported) {
+    static void checkEffectiveOrder(String name, List<Order> heads, EffectiveOrder order, EffectiveOrder reported) {
         if (heads.isEmpty()) {
             return;
         }
@@ -506,7 +506,7 @@
                 }
             }
             for (Node.ShardReplica replica : node.process().replicas) {
-                if (!replica.machine.level()) {
+                if (!replica.machine.isCaughtUp()) {
                     throw new Violation(Rule.SERVES, node.name + " is not caught up though no fault is left");
                 }
                 checkConverged(node, replica, living.get(0).process().replicas.get(replica.shard));
@@ -519,7 +519,7 @@
         if (!slots.equals(slotsByKey(first))) {
             throw new Violation(Rule.MEET, node.name + " has " + slots + ", but another member has " + slotsByKey(first));
         }
-        Map<Fact.Key, String> entries = entriesByKey(replica);
+        Map<Entry.Key, String> entries = entriesByKey(replica);
         if (!entries.equals(entriesByKey(first))) {
             throw new Violation(Rule.MEET, node.name + " has " + entries + ", but another member has " + entriesByKey(first));
         }
@@ -555,10 +555,10 @@
     }
 
     /** Returns the entries of living writers, without their ages. */
-    private Map<Fact.Key, String> entriesByKey(Node.ShardReplica replica) {
-        Map<Fact.Key, String> entries = new TreeMap<>(Comparator.comparing(Fact.Key::toString));
+    private Map<Entry.Key, String> entriesByKey(Node.ShardReplica replica) {
+        Map<Entry.Key, String> entries = new TreeMap<>(Comparator.comparing(Entry.Key::toString));
         for (String topic : SimulatedFleet.ENTRY_TOPICS) {
-            for (Fact entry : replica.machine.facts(topic, replica.owner.node().clockUs())) {
+            for (Entry entry : replica.machine.entries(topic, replica.owner.node().clockUs())) {
                 if (alive(entry.key().writer())) {
                     entries.put(entry.key(), entry.incarnation() + "." + entry.version() + "=" + entry.payload());
                 }
--- a/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
@@ -10,14 +10,15 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardEvent;
+import walkpost.fleet.copy.ShardMessage;
+import walkpost.fleet.copy.ShardMessage.DeclineReason;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
-import walkpost.fleet.copy.SlotRule;
+import walkpost.fleet.copy.SlotMerge;
 import walkpost.fleet.member.MemberEvent;
 import walkpost.fleet.member.News;
 import walkpost.fleet.member.Standing;
@@ -31,16 +32,16 @@
 enum PlantedFault {
     PERSIST_DROPPED(() -> new FaultInjection() {
         @Override
-        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
-            return action instanceof CopyAction.Persist ? List.of() : List.of(action);
+        List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
+            return action instanceof ShardAction.Persist ? List.of() : List.of(action);
         }
     }, Rule.KEPT),
 
     DECIDES_WITHOUT_MAJORITY(() -> new FaultInjection() {
         @Override
-        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
-            if (action instanceof CopyAction.Send send && send.message() instanceof CopyMessage.Propose proposal) {
-                node.deliverForged(shard, send.to(), new CopyMessage.Promised(proposal.round(), proposal.order().id()));
+        List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
+            if (action instanceof ShardAction.Send send && send.message() instanceof ShardMessage.Propose proposal) {
+                node.deliverForged(shard, send.to(), new ShardMessage.Promised(proposal.round(), proposal.order().id()));
             }
             return List.of(action);
         }
@@ -48,36 +49,36 @@
 
     PROMISES_TWICE(() -> new FaultInjection() {
         @Override
-        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
-            return List.of(action instanceof CopyAction.Send send && send.message() instanceof CopyMessage.Declined declined
-                    && declined.why() == CopyMessage.Reason.BUSY
-                    ? new CopyAction.Send(send.to(), new CopyMessage.Promised(declined.round(), declined.id())) : action);
+        List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
+            return List.of(action instanceof ShardAction.Send send && send.message() instanceof ShardMessage.Declined declined
+                    && declined.why() == DeclineReason.BUSY
+                    ? new ShardAction.Send(send.to(), new ShardMessage.Promised(declined.round(), declined.id())) : action);
         }
     }, Rule.PROMISE),
 
     JOIN_DROPS_RIVALS(() -> new FaultInjection() {
         @Override
-        List<CopyEvent> replaceEvent(Node node, int shard, CopyEvent event) {
-            return List.of(event instanceof CopyEvent.Received received
-                    ? new CopyEvent.Received(received.from(), RecordRewriter.each(received.message(), Slot.class,
+        List<ShardEvent> replaceEvent(Node node, int shard, ShardEvent event) {
+            return List.of(event instanceof ShardEvent.Received received
+                    ? new ShardEvent.Received(received.from(), RecordRewriter.each(received.message(), Slot.class,
                             slot -> new Slot(slot.key(), slot.heads().stream().limit(1).toList(), slot.replaced(), slot.floor()))) : event);
         }
     }, Rule.MEET, Rule.SERVES, Rule.KEPT),
 
     AGES_RESET_WHEN_SENT(() -> new FaultInjection() {
         @Override
-        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
-            return List.of(action instanceof CopyAction.Send send
-                    ? new CopyAction.Send(send.to(), RecordRewriter.each(send.message(), Fact.class,
-                            entry -> new Fact(entry.key(), entry.incarnation(), entry.version(), entry.payload(), 0))) : action);
+        List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
+            return List.of(action instanceof ShardAction.Send send
+                    ? new ShardAction.Send(send.to(), RecordRewriter.each(send.message(), Entry.class,
+                            entry -> new Entry(entry.key(), entry.incarnation(), entry.version(), entry.payload(), 0))) : action);
         }
     }, Rule.AGE),
 
     CAUGHT_UP_WITHOUT_COMPARISON(() -> new FaultInjection() {
         @Override
-        List<CopyAction> replaceAction(Node node, int shard, CopyAction action) {
-            if (action instanceof CopyAction.Send send && send.message() instanceof CopyMessage.Compare request) {
-                node.deliverForged(shard, send.to(), new CopyMessage.Nodes(request.round(), request.awayUs(), new long[0], new long[0]));
+        List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
+            if (action instanceof ShardAction.Send send && send.message() instanceof ShardMessage.CompareRoots request) {
+                node.deliverForged(shard, send.to(), new ShardMessage.NodeHashes(request.round(), request.awayUs(), new long[0], new long[0]));
             }
             return List.of(action);
         }
@@ -108,9 +109,9 @@
 
     OBSERVER_COUNTED_IN_A_MAJORITY(Layout.FEW_VOTE, () -> new FaultInjection() {
         @Override
-        List<CopyEvent> replaceEvent(Node node, int shard, CopyEvent event) {
-            return List.of(event instanceof CopyEvent.Received received && isObserver(received.from())
-                    ? new CopyEvent.Received(node.index == 0 ? "n1" : "n0", received.message()) : event);
+        List<ShardEvent> replaceEvent(Node node, int shard, ShardEvent event) {
+            return List.of(event instanceof ShardEvent.Received received && isObserver(received.from())
+                    ? new ShardEvent.Received(node.index == 0 ? "n1" : "n0", received.message()) : event);
         }
 
         private boolean isObserver(String name) {
@@ -142,7 +143,7 @@
         List<ObserverAction> replaceAction(Node node, ObserverAction action) {
             List<ObserverAction> all = new ArrayList<>(List.of(action));
             if (action instanceof ObserverAction.Send send && send.message() instanceof ObserveMessage.Taken) {
-                lastPushed.get(node).forEach(slot -> all.add(new ObserverAction.Stands(slot.key(), SlotRule.acting(slot))));
+                lastPushed.get(node).forEach(slot -> all.add(new ObserverAction.EffectiveOrderChanged(slot.key(), SlotMerge.effectiveOrder(slot))));
             }
             return all;
         }
@@ -172,11 +173,11 @@
         @Override
         List<ObserverAction> replaceAction(Node node, ObserverAction action) {
             List<ObserverAction> all = new ArrayList<>(List.of(action));
-            if (action instanceof ObserverAction.Stands changed) {
+            if (action instanceof ObserverAction.EffectiveOrderChanged changed) {
                 reportedKeys.computeIfAbsent(node, key -> new LinkedHashSet<>()).add(changed.key());
-            } else if (action instanceof ObserverAction.Level reported && !reported.level()) {
+            } else if (action instanceof ObserverAction.CaughtUpChanged reported && !reported.level()) {
                 reportedKeys.getOrDefault(node, Set.of()).forEach(
-                        key -> all.add(new ObserverAction.Stands(key, new Acting(null, null, List.of()))));
+                        key -> all.add(new ObserverAction.EffectiveOrderChanged(key, new EffectiveOrder(null, null, List.of()))));
             }
             return all;
         }
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyEvent;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.observe.Feed;
 import walkpost.fleet.observe.FeedAction;
@@ -26,7 +26,7 @@
     SimulatedFeed(SimulatedFleet fleet, Node.Process owner) {
         this.fleet = fleet;
         this.owner = owner;
-        machine = new Feed(ObserveSettings.usual(), owner.node().name, owner.node().region, fleet.configured);
+        machine = new Feed(ObserveSettings.defaults(), owner.node().name, owner.node().region, fleet.configured);
         out = new ActionQueue<>(owner, fleet.time, this::carryOut);
     }
 
@@ -62,12 +62,12 @@
     }
 
     /** Passes on an action of a shard that the process has carried out. */
-    void shardActed(Node.ShardReplica replica, CopyAction action) {
-        if (action instanceof CopyAction.Acknowledged reported) {
+    void shardActed(Node.ShardReplica replica, ShardAction action) {
+        if (action instanceof ShardAction.Acknowledged reported) {
             handle(new FeedEvent.Acknowledged(reported.id(), reported.order()));
-        } else if (action instanceof CopyAction.Refused reported) {
+        } else if (action instanceof ShardAction.Refused reported) {
             handle(new FeedEvent.Refused(reported.id(), reported.why()));
-        } else if (action instanceof CopyAction.Level reported) {
+        } else if (action instanceof ShardAction.CaughtUpChanged reported) {
             boolean wasCaughtUp = isCaughtUp();
             if (reported.level()) {
                 caughtUpShards.add(replica.shard);
@@ -76,7 +76,7 @@
                 lastBehindUs = fleet.time.nowUs();
             }
             if (isCaughtUp() != wasCaughtUp) {
-                handle(new FeedEvent.Level(isCaughtUp()));
+                handle(new FeedEvent.CaughtUpChanged(isCaughtUp()));
             }
         }
     }
@@ -88,11 +88,11 @@
             }
         } else if (action instanceof FeedAction.Propose propose) {
             replicaOf(propose.key().topic(), propose.key().subject()).handle(
-                    new CopyEvent.Propose(propose.key(), propose.id(), propose.replaces(), propose.payload()));
+                    new ShardEvent.Propose(propose.key(), propose.id(), propose.replaces(), propose.payload()));
         } else if (action instanceof FeedAction.Offer offer) {
             fleet.time.log("%s is offered %s", owner.node().name, offer.slots());
             offer.slots().stream().collect(Collectors.groupingBy(slot -> replicaOf(slot.key().topic(), slot.key().subject()).shard))
-                    .forEach((shard, slots) -> owner.replicas.get(shard).handle(new CopyEvent.Offered(slots)));
+                    .forEach((shard, slots) -> owner.replicas.get(shard).handle(new ShardEvent.SlotsOffered(slots)));
         }
     }
 
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedFleet.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedFleet.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.CopyAction;
-import walkpost.fleet.copy.CopyEvent;
-import walkpost.fleet.copy.CopyMessage;
-import walkpost.fleet.copy.CopySettings;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.KeyHash;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.copy.Shards;
+import walkpost.fleet.copy.ShardAction;
+import walkpost.fleet.copy.ShardEvent;
+import walkpost.fleet.copy.ShardMessage;
+import walkpost.fleet.copy.ShardSettings;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.MemberAction;
 import walkpost.fleet.member.MemberEvent;
@@ -35,9 +35,9 @@
     static final int VOTERS = 3;
     private static final int OBSERVERS = 12;
     static final List<String> REGIONS = List.of("north", "south");
-    static final CopySettings COPY = CopySettings.usual().withBounds(Map.of("verdict", 3 * SimClock.SECOND_US), 10 * SimClock.SECOND_US);
+    static final ShardSettings COPY = ShardSettings.defaults().withStalenessBounds(Map.of("verdict", 3 * SimClock.SECOND_US), 10 * SimClock.SECOND_US);
     /** The default settings, except that members probe dead members and synchronize sooner, so that a run does not take minutes. */
-    static final MemberSettings MEMBERS = withShortPeriods(MemberSettings.usual());
+    static final MemberSettings MEMBERS = withShortPeriods(MemberSettings.defaults());
     static final List<String> ENTRY_TOPICS = List.of("verdict", "load");
     private static final List<String> ORDER_TOPICS = List.of("exclusion", "placement", "calendar");
 
@@ -116,7 +116,7 @@
     }
 
     int shardOf(String topic, String subject) {
-        return Shards.of(topic, subject, shards);
+        return KeyHash.shardOf(topic, subject, shards);
     }
 
     int majority() {
@@ -146,16 +146,16 @@
     }
 
     /** Sends a message between replicas of a shard. */
-    void send(Node.ShardReplica from, CopyAction.Send send) {
+    void send(Node.ShardReplica from, ShardAction.Send send) {
         Node sender = from.owner.node();
-        if (sender == isolateAtCommit && send.message() instanceof CopyMessage.Hold commit && time.nowUs() < faultsEndUs) {
+        if (sender == isolateAtCommit && send.message() instanceof ShardMessage.Commit commit && time.nowUs() < faultsEndUs) {
             isolateAtCommit = null;
             isolateAtCommit(sender, commit.slot().key());
         }
         if (forger != null && time.nowUs() < faultsEndUs) {
             forge(sender, from.shard, send.message());
         }
-        CopyMessage message = sender == faultyWriter && time.nowUs() < faultsEndUs ? corruptEntries(send.message()) : send.message();
+        ShardMessage message = sender == faultyWriter && time.nowUs() < faultsEndUs ? corruptEntries(send.message()) : send.message();
         long sentUs = time.nowUs();
         for (Node to : nodes) {
             if (to.name.equals(send.to())) {
@@ -166,7 +166,7 @@
                         oracle.arrived(replica, from, message, sentUs);
                         process.receive(() -> {
                             oracle.read(replica, sender.name, sentUs);
-                            replica.handle(new CopyEvent.Received(sender.name, message));
+                            replica.handle(new ShardEvent.Received(sender.name, message));
                         });
                     }
                 });
@@ -175,15 +175,15 @@
     }
 
     /** Answers a voter's proposal or decision in the name of the forger, an observer, as if it were a voter. */
-    private void forge(Node coordinator, int shard, CopyMessage message) {
-        CopyMessage forged = message instanceof CopyMessage.Propose proposal
-                ? new CopyMessage.Promised(proposal.round(), proposal.order().id())
-                : message instanceof CopyMessage.Hold commit ? new CopyMessage.Held(commit.round(), commit.id()) : null;
+    private void forge(Node coordinator, int shard, ShardMessage message) {
+        ShardMessage forged = message instanceof ShardMessage.Propose proposal
+                ? new ShardMessage.Promised(proposal.round(), proposal.order().id())
+                : message instanceof ShardMessage.Commit commit ? new ShardMessage.Committed(commit.round(), commit.id()) : null;
         if (forged != null && forger.alive() && forger.process().isRunning()) {
             network.send(forger.index, coordinator.index, false, () -> {
                 Node.Process process = coordinator.process();
                 if (process != null) {
-                    process.receive(() -> process.replicas.get(shard).handle(new CopyEvent.Received(forger.name, forged)));
+                    process.receive(() -> process.replicas.get(shard).handle(new ShardEvent.Received(forger.name, forged)));
                 }
             });
         }
@@ -230,13 +230,13 @@
     }
 
     /** Corrupts entries of the faulty writer: gives them another payload for the same version, or a version that nothing can exceed. */
-    private CopyMessage corruptEntries(CopyMessage message) {
-        return RecordRewriter.each(message, Fact.class, entry -> {
+    private ShardMessage corruptEntries(ShardMessage message) {
+        return RecordRewriter.each(message, Entry.class, entry -> {
             if (!entry.key().writer().equals(faultyWriter.name) || time.chance(0.5)) {
                 return entry;
             }
             boolean high = time.chance(0.3);
-            return new Fact(entry.key(), high && time.chance(0.5) ? Long.MAX_VALUE - time.below(3) : entry.incarnation(),
+            return new Entry(entry.key(), high && time.chance(0.5) ? Long.MAX_VALUE - time.below(3) : entry.incarnation(),
                     high ? Long.MAX_VALUE - time.below(3) : entry.version(), "\"lie" + time.below(3) + "\"", entry.ageUs());
         });
     }
@@ -371,13 +371,13 @@
         if (time.chance(0.05)) {
             return "o" + time.below(lastNumber + 1);
         }
-        Acting current = node.alive() ? orderInEffect(node.process(), key) : null;
+        EffectiveOrder current = node.alive() ? orderInEffect(node.process(), key) : null;
         return current == null || current.chosen() == null ? "" : current.chosen().id();
     }
 
-    private Acting orderInEffect(Node.Process process, Order.Key key) {
-        return (process.observer != null ? process.observer.machine.acting()
-                : process.replicas.get(shardOf(key.topic(), key.subject())).machine.acting()).get(key);
+    private EffectiveOrder orderInEffect(Node.Process process, Order.Key key) {
+        return (process.observer != null ? process.observer.machine.effectiveOrders()
+                : process.replicas.get(shardOf(key.topic(), key.subject())).machine.effectiveOrders()).get(key);
     }
 
     private String payload() {
@@ -405,7 +405,7 @@
             return;
         }
         process.replicas.get(shardOf(call.key.topic(), call.key.subject())).handle(
-                new CopyEvent.Propose(call.key, call.id, call.replaces, call.payload));
+                new ShardEvent.Propose(call.key, call.id, call.replaces, call.payload));
     }
 
     private void planEntries() {
@@ -422,11 +422,11 @@
     private void write(Node node, String topic, String subject) {
         String payload = time.chance(0.1) ? null : "\"f" + lastNumber++ + "\"";
         if (node.process().observer != null) {
-            node.process().observer.handle(new ObserverEvent.Tell(topic, subject, payload));
+            node.process().observer.handle(new ObserverEvent.WriteEntry(topic, subject, payload));
             return;
         }
         oracle.written(node.process(), topic, subject, payload);
-        node.process().replicas.get(shardOf(topic, subject)).handle(new CopyEvent.Tell(topic, subject, payload));
+        node.process().replicas.get(shardOf(topic, subject)).handle(new ShardEvent.WriteEntry(topic, subject, payload));
     }
 
     /** Gives one more order for each key, whatever order is in force, because a fleet without faults must accept it. */
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedObserver.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedObserver.java
@@ -19,7 +19,7 @@
     SimulatedObserver(SimulatedFleet fleet, Node.Process owner, long seed) {
         this.fleet = fleet;
         this.owner = owner;
-        machine = new Observer(ObserveSettings.usual(), owner.life, owner.node().region, fleet.configured, seed);
+        machine = new Observer(ObserveSettings.defaults(), owner.life, owner.node().region, fleet.configured, seed);
         out = new ActionQueue<>(owner, fleet.time, this::carryOut);
     }
 
--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -22,7 +22,7 @@
     enum Scope { ALL, ZONE, CELL }
 
     /** The state of a backend by the server list. */
-    enum State { READY, DRAINING, GONE }
+    enum BackendState { READY, DRAINING, GONE }
 
     /** What a list update has: changes, a full list, the list stored before a restart, or nothing because the call failed. */
     enum ListKind { DELTA, FULL, CACHED, FAILED }
@@ -123,7 +123,7 @@
     }
 
     /** An entry of the server list. A {@code startedAtUs} of 0 means long ago; {@code weight} is relative to that of other backends. */
-    record Backend(String id, State state, String kind, String zone, int cell, long startedAtUs, double weight) {
+    record Backend(String id, Balancer.BackendState state, String kind, String zone, int cell, long startedAtUs, double weight) {
         public Backend {
             require(id != null && !id.isEmpty(), "backend id", id, "a text that is not empty");
             require(state != null, "state of backend " + id, state, "a value");
@@ -131,14 +131,14 @@
     }
 
     /** An event that the proxy reports. */
-    sealed interface Event permits Members, Retuned, Excluded, Included, Arrival, RequestSending,
-            RequestSent, StreamStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded { }
+    sealed interface Event permits Balancer.ListUpdate, Balancer.SettingsChanged, Excluded, Included, Arrival, Balancer.RequestStreamStarted,
+            Balancer.RequestStreamEnded, Balancer.ResponseStreamStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded { }
 
     /** The server list has changed, or a call for it failed. A backend that is missing from a full list is gone. */
-    record Members(ListKind kind, List<Backend> backends) implements Event { }
+    record ListUpdate(ListKind kind, List<Backend> backends) implements Event { }
 
     /** The settings have changed. A request that has arrived keeps the settings with which it came. */
-    record Retuned(Settings settings) implements Event { }
+    record SettingsChanged(Settings settings) implements Event { }
 
     /** The operators exclude a backend: until {@link Included} it gets no further attempts, whatever the list says. */
     record Excluded(String backend) implements Event { }
@@ -155,13 +155,13 @@
             implements Event { }
 
     /** An attempt is streaming a request that its client is still sending: no answer is due until it has been sent in full. */
-    record RequestSending(String id, int attempt) implements Event { }
+    record RequestStreamStarted(String id, int attempt) implements Event { }
 
     /** A streamed request has been sent in full: its time starts now, and {@code leftUs} is left until the client's deadline. */
-    record RequestSent(String id, int attempt, long leftUs) implements Event { }
+    record RequestStreamEnded(String id, int attempt, long leftUs) implements Event { }
 
     /** An attempt's response has begun to stream to the client: the attempt is no longer repeated or replaced. */
-    record StreamStarted(String id, int attempt) implements Event { }
+    record ResponseStreamStarted(String id, int attempt) implements Event { }
 
     /** An attempt has ended; comes once for each attempt. {@code last} says that the request has its final answer, now or before. */
     record AttemptEnded(String id, int attempt, String backend, Outcome outcome, long latencyUs, boolean last)
--- a/proxy/src/main/java/walkpost/BackOff.java
+++ b/proxy/src/main/java/walkpost/DiscoveryBackOff.java
@@ -4,7 +4,7 @@
  * The back-off after a failed call for the list of servers: exponential, with jitter, so that the proxies do not call in step. They share
  * one discovery service that bears only a few calls a second. Stateless.
  */
-public final class BackOff {
+public final class DiscoveryBackOff {
     /**
      * The longest back-off, in microseconds. After a failed call, a change has to reach the proxy within 6 s from the time when discovery
      * knows it and can be reached. Two such back-offs are the longest time taken by a call that began just before that moment. A busy
@@ -16,7 +16,7 @@
     private static final int FIRST_STEP_DIVISOR = 32;
     private static final int MAX_DOUBLINGS = 3;
 
-    private BackOff() { }
+    private DiscoveryBackOff() { }
 
     /**
      * Returns how long to wait, in microseconds: from a half to three halves of the step. If that exceeds {@link #LONGEST_US}, the jitter
@@ -26,7 +26,7 @@
      * @param failedCalls the number of calls that have failed in a row, from 1
      * @param jitter a random number from 0 to 1, this proxy's own
      */
-    public static long us(long askWithinUs, int failedCalls, double jitter) {
+    public static long delayUs(long askWithinUs, int failedCalls, double jitter) {
         double stepUs = askWithinUs / (double) FIRST_STEP_DIVISOR * (1 << Math.min(failedCalls - 1, MAX_DOUBLINGS));
         double mostUs = Math.min(1.5 * stepUs, LONGEST_US);
         double leastUs = Math.min(0.5 * stepUs, mostUs / 2);
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -213,17 +213,17 @@
             requestArrived(e);
         } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
-        } else if (event instanceof RequestSending e) {
+        } else if (event instanceof Balancer.RequestStreamStarted e) {
             findInFlight(e.id(), e.attempt()).ifPresent(this::requestStreamStarted);
-        } else if (event instanceof RequestSent e) {
+        } else if (event instanceof Balancer.RequestStreamEnded e) {
             findInFlight(e.id(), e.attempt()).ifPresent(attempt -> requestStreamEnded(attempt, e.leftUs()));
-        } else if (event instanceof StreamStarted e) {
+        } else if (event instanceof Balancer.ResponseStreamStarted e) {
             findInFlight(e.id(), e.attempt()).ifPresent(this::responseStreamStarted);
         } else if (event instanceof TimerFired e && e.token().equals("ask") && now >= listRequestAt) {
             requestList();
-        } else if (event instanceof Members e) {
+        } else if (event instanceof Balancer.ListUpdate e) {
             listUpdated(e);
-        } else if (event instanceof Retuned e) {
+        } else if (event instanceof Balancer.SettingsChanged e) {
             applySettings(e.settings());
             refreshWeights();
             requestList();
@@ -239,11 +239,11 @@
 
     // List of servers
 
-    private void listUpdated(Members update) {
+    private void listUpdated(Balancer.ListUpdate update) {
         if (update.kind() == ListKind.FAILED) {
             // A failed call is repeated after an exponential back-off with jitter.
             failedListCalls++;
-            scheduleListRequest(BackOff.us(rules.askWithinUs(), failedListCalls, random.nextDouble()));
+            scheduleListRequest(DiscoveryBackOff.delayUs(rules.askWithinUs(), failedListCalls, random.nextDouble()));
             return;
         }
         if (update.kind() != ListKind.CACHED) {
@@ -274,10 +274,10 @@
                 // Removes only servers that are present: a vain search for each entry of a full list would take quadratic time.
                 servers.remove(server);
             }
-            server.ready = backend.state() == State.READY && !excludedIds.contains(backend.id());
+            server.ready = backend.state() == Balancer.BackendState.READY && !excludedIds.contains(backend.id());
             if (server.ready) {
                 servers.add(server);
-            } else if (backend.state() == State.READY) {
+            } else if (backend.state() == Balancer.BackendState.READY) {
                 readyButExcluded.add(server);
             }
         }
@@ -307,7 +307,7 @@
     private void include(String id) {
         includedAt.put(id, now);
         Server server = serversById.get(id);
-        if (server != null && server.listed.state() == State.READY) {
+        if (server != null && server.listed.state() == Balancer.BackendState.READY) {
             applyList(ListKind.DELTA, List.of(serversById.remove(id).listed));
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
+++ b/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
@@ -5,15 +5,15 @@
  * other clients, because the event loop accepts one in each turn. What such a client has sent meanwhile is unread, and it may have gone
  * already. Wraps the listener whose queue it watches. Used on the event loop only.
  */
-final class AcceptQueueMonitor implements Listener {
+final class AcceptQueueMonitor implements ClientListener {
     /**
      * A client that has waited for less than this counts as just arrived. An event loop that does not lag takes less than this for one
      * turn.
      */
     static final long MIN_WAIT_US = 20_000;
 
-    private final LoopBeat lagMonitor;
-    private final Listener delegate;
+    private final EventLoopLagMonitor lagMonitor;
+    private final ClientListener delegate;
     /** Since when the queue may never have been empty; {@code Long.MAX_VALUE} if it is known to be empty. */
     private long queuedSinceUs = Long.MAX_VALUE;
     private long lastAcceptUs = Long.MIN_VALUE / 2;
@@ -21,21 +21,21 @@
     private boolean accepting = true;
     private boolean checkScheduled;
 
-    AcceptQueueMonitor(LoopBeat lagMonitor, Listener delegate) {
+    AcceptQueueMonitor(EventLoopLagMonitor lagMonitor, ClientListener delegate) {
         this.lagMonitor = lagMonitor;
         this.delegate = delegate;
     }
 
     @Override
-    public void accept(boolean on) {
+    public void setAccepting(boolean on) {
         accepting = on;
         if (on) {
             // The queue may be of any length now; only a period without a new client, counted from here, shows that it is empty.
-            lastAcceptUs = lagMonitor.now();
+            lastAcceptUs = lagMonitor.nowUs();
         } else {
             queuedSinceUs = Long.MIN_VALUE / 2;
         }
-        delegate.accept(on);
+        delegate.setAccepting(on);
     }
 
     @Override
@@ -45,15 +45,15 @@
 
     /** Notes that an accept has failed, so that the client that is accepted next may have waited. */
     void acceptFailed() {
-        lastAcceptUs = lagMonitor.now();
+        lastAcceptUs = lagMonitor.nowUs();
         queuedSinceUs = Math.min(queuedSinceUs, lastAcceptUs);
     }
 
     /** Notes that a client has been accepted; returns whether it may have waited. */
     boolean accepted() {
         acceptedCount++;
-        long nowUs = lagMonitor.now();
-        long arrivedAtUs = lagMonitor.arrivedAt();
+        long nowUs = lagMonitor.nowUs();
+        long arrivedAtUs = lagMonitor.earliestArrivalUs();
         if (accepting && (queuedSinceUs == Long.MAX_VALUE || arrivedAtUs - lastAcceptUs >= MIN_WAIT_US)) {
             queuedSinceUs = arrivedAtUs;
         }
@@ -71,7 +71,7 @@
         }
         checkScheduled = true;
         int countBefore = acceptedCount;
-        lagMonitor.afterLook(() -> {
+        lagMonitor.runAfterIoPoll(() -> {
             checkScheduled = false;
             if (accepting && acceptedCount == countBefore) {
                 queuedSinceUs = Long.MAX_VALUE;
--- a/proxy/src/main/java/walkpost/proxy/Proxy.java
+++ b/proxy/src/main/java/walkpost/proxy/BalancerDriver.java
@@ -19,29 +19,29 @@
  * Connects the {@link Balancer} to the sockets: delivers events to the balancer one at a time and carries out the actions that it returns.
  * This class makes no decisions. It runs on the proxy's event loop only.
  */
-final class Proxy {
+final class BalancerDriver {
     /**
      * The client's side of a request, which writes the response. The driver calls exactly one of the four methods that answer, exactly
      * once, unless the client disconnects first.
      */
-    interface Reply {
+    interface Responder {
         /** Answers with a server's complete response. */
-        void served(Backends.Answer answer);
+        void respond(ServerConnections.BufferedResponse answer);
 
         /** Answers with a server's response whose body is still being received. */
-        void streams(Backends.Stream stream);
+        void respondStreaming(ServerConnections.StreamedResponse stream);
 
         /** Answers that the request was refused and may be retried after {@code retryAfterUs}; 0 gives no hint. */
-        void refused(long retryAfterUs);
+        void refuse(long retryAfterUs);
 
         /** Answers that the request failed. */
-        void failed();
+        void fail();
 
         /** Returns whether the client is connected and still waits for this response, judged by the input read so far. */
-        boolean clientThere();
+        boolean isClientConnected();
 
         /** Returns whether the client may have closed its connection some time ago without the proxy having read that yet. */
-        boolean endMayBeUnread();
+        boolean mayHaveUnreadClose();
     }
 
     /**
@@ -51,15 +51,15 @@
      * @param fullyReceived whether the body has been received completely; until then the request's time is not running
      * @param limits the limits that were in force when the request came in
      */
-    record Incoming(String id, String requestClass, String tenant, String key, boolean repeat, long costUs,
-            long deadlineUs, boolean fullyReceived, Balancer.Limits limits, Backends.Outgoing outgoing) { }
+    record IncomingRequest(String id, String requestClass, String tenant, String key, boolean repeat, long costUs,
+            long deadlineUs, boolean fullyReceived, Balancer.Limits limits, ServerConnections.OutgoingRequest outgoing) { }
 
     /** A request and its attempts, kept until the request is finished and none of its attempts is in flight. */
     private static final class Request {
-        private final Incoming incoming;
-        private final Reply reply;
+        private final BalancerDriver.IncomingRequest incoming;
+        private final BalancerDriver.Responder reply;
         /** The attempts by number; null where an attempt was never sent. */
-        private final List<Backends.Attempt> attempts = new ArrayList<>(2);
+        private final List<ServerConnections.Attempt> attempts = new ArrayList<>(2);
         /** The time that the request had left when it came in. */
         private final long patienceUs;
         private long deadlineUs;
@@ -71,7 +71,7 @@
         private boolean finished;
         private Future<?> safetyTimer;
 
-        Request(Incoming incoming, Reply reply, long nowUs) {
+        Request(BalancerDriver.IncomingRequest incoming, BalancerDriver.Responder reply, long nowUs) {
             this.incoming = incoming;
             this.reply = reply;
             this.deadlineUs = incoming.deadlineUs();
@@ -93,58 +93,58 @@
      */
     private static final int MAX_POLLS_BEFORE_ATTEMPT = 20;
 
-    private final Clock clock;
+    private final ProxyClock clock;
     private final EventLoop loop;
-    private final Log log = new Log("proxy");
-    private final LoopBeat beat;
+    private final EventLog log = new EventLog("proxy");
+    private final EventLoopLagMonitor beat;
     private final Balancer balancer;
-    private final Backends backends;
+    private final ServerConnections backends;
     private final Map<String, Request> requests = new HashMap<>();
     private final Queue<Event> events = new ArrayDeque<>();
     private final List<Action> actions = new ArrayList<>();
-    private Discovery discovery;
+    private DiscoveryClient discovery;
     private boolean delivering;
 
-    Proxy(Clock clock, EventLoop loop, Balancer balancer, Backends backends) {
+    BalancerDriver(ProxyClock clock, EventLoop loop, Balancer balancer, ServerConnections backends) {
         this.clock = clock;
         this.loop = loop;
-        this.beat = new LoopBeat(clock, loop);
+        this.beat = new EventLoopLagMonitor(clock, loop);
         this.balancer = balancer;
         this.backends = backends;
     }
 
     /** Sets the discovery client that carries out {@link Balancer.Watch} and {@link Balancer.Fetch}. */
-    void discovery(Discovery client) {
+    void setDiscovery(DiscoveryClient client) {
         discovery = client;
     }
 
     /** Returns the monitor of delays of the event loop. The caller that opens the listener starts it. */
-    LoopBeat beat() {
+    EventLoopLagMonitor loopMonitor() {
         return beat;
     }
 
     /** Returns the time on the proxy's clock, in microseconds. */
-    long now() {
-        return clock.now();
+    long nowUs() {
+        return clock.nowUs();
     }
 
     /** Returns the number of requests that are unanswered or have attempts in flight. */
-    int open() {
+    int openRequests() {
         return requests.size();
     }
 
     /** Returns whether a request with this id is unanswered or has attempts in flight. */
-    boolean knows(String id) {
+    boolean hasRequest(String id) {
         return requests.containsKey(id);
     }
 
     // Events
 
     /** Takes a client's request in. Fails it at once if its deadline has passed. */
-    void arrived(Incoming incoming, Reply reply) {
-        long nowUs = clock.now();
+    void requestArrived(BalancerDriver.IncomingRequest incoming, BalancerDriver.Responder reply) {
+        long nowUs = clock.nowUs();
         if (nowUs >= incoming.deadlineUs()) {
-            reply.failed();
+            reply.fail();
             return;
         }
         var request = new Request(incoming, reply, nowUs);
@@ -157,7 +157,7 @@
     }
 
     /** Records that the body of a request has been received completely. The request's time runs from now on. */
-    void whole(String id, long deadlineUs) {
+    void requestFullyReceived(String id, long deadlineUs) {
         Request request = requests.get(id);
         if (request != null && !request.finished) {
             request.deadlineUs = deadlineUs;
@@ -167,12 +167,12 @@
     }
 
     private void startSafetyTimer(Request request) {
-        request.safetyTimer = loop.schedule(() -> failOverdue(request), request.deadlineUs + SAFETY_DELAY_US - clock.now(),
+        request.safetyTimer = loop.schedule(() -> failOverdue(request), request.deadlineUs + SAFETY_DELAY_US - clock.nowUs(),
                 TimeUnit.MICROSECONDS);
     }
 
     /** Ends a request whose client has closed its connection before it had an answer. */
-    void clientGone(String id) {
+    void clientDisconnected(String id) {
         Request request = requests.get(id);
         if (request != null && !request.finished) {
             finish(request);
@@ -184,45 +184,45 @@
     /** Fails a request that the balancer has not answered, so that every client gets an answer in time. */
     private void failOverdue(Request request) {
         if (!request.finished) {
-            answer(request, Reply::failed);
+            answer(request, BalancerDriver.Responder::fail);
             deliver(new Balancer.ClientGone(request.incoming.id()));
             removeIfDone(request);
         }
     }
 
     /** Applies an update of the server list; {@link Balancer.ListKind#FAILED} reports a call to discovery that brought none. */
-    void members(Balancer.ListKind kind, List<Backends.Listed> listed) {
-        List<Backends.Attempt> unsent = kind == Balancer.ListKind.FAILED ? List.of() : backends.update(kind, listed);
-        deliver(new Balancer.Members(kind, listed.stream().map(Backends.Listed::backend).toList()));
+    void updateServerList(Balancer.ListKind kind, List<ServerConnections.ListedServer> listed) {
+        List<ServerConnections.Attempt> unsent = kind == Balancer.ListKind.FAILED ? List.of() : backends.applyList(kind, listed);
+        deliver(new Balancer.ListUpdate(kind, listed.stream().map(ServerConnections.ListedServer::backend).toList()));
         // The balancer knows the new list by now, so it retries these attempts on other servers.
         unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
     }
 
     /** Passes new settings to the balancer. */
-    void retuned(Balancer.Settings settings) {
-        deliver(new Balancer.Retuned(settings));
+    void settingsChanged(Balancer.Settings settings) {
+        deliver(new Balancer.SettingsChanged(settings));
     }
 
     /** Returns whether a server of this id is listed or excluded, so that operators may name it. */
-    boolean knowsBackend(String id) {
-        return backends.knows(id);
+    boolean isKnownServer(String id) {
+        return backends.isKnown(id);
     }
 
     /** Takes a server out of use, on an operator's order. */
-    void excluded(String serverId) {
-        List<Backends.Attempt> unsent = backends.exclude(serverId);
+    void excludeServer(String serverId) {
+        List<ServerConnections.Attempt> unsent = backends.exclude(serverId);
         deliver(new Balancer.Excluded(serverId));
         unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
     }
 
     /** Puts an excluded server back into use, on an operator's order. */
-    void included(String serverId) {
+    void includeServer(String serverId) {
         backends.include(serverId);
         deliver(new Balancer.Included(serverId));
     }
 
     /** Reports the progress of one attempt to the balancer, and passes its response to the client. */
-    private final class AttemptTracker implements Backends.AttemptListener {
+    private final class AttemptTracker implements ServerConnections.AttemptListener {
         private final Request request;
         private final int number;
         private final String serverId;
@@ -234,31 +234,31 @@
         }
 
         @Override
-        public void sending() {
-            deliver(new Balancer.RequestSending(request.incoming.id(), number));
+        public void onBodySendingStarted() {
+            deliver(new Balancer.RequestStreamStarted(request.incoming.id(), number));
         }
 
         @Override
-        public void sent() {
-            deliver(new Balancer.RequestSent(request.incoming.id(), number, request.leftUs(clock.now())));
+        public void onBodySent() {
+            deliver(new Balancer.RequestStreamEnded(request.incoming.id(), number, request.leftUs(clock.nowUs())));
         }
 
         @Override
-        public void streams(Backends.Stream stream) {
+        public void onStreamedResponse(ServerConnections.StreamedResponse stream) {
             if (request.finished) {
                 stream.body().cancel();
             } else {
                 // The balancer is informed first, so that it no longer counts on this request when the answer causes further events.
-                deliver(new Balancer.StreamStarted(request.incoming.id(), number));
-                answer(request, reply -> reply.streams(stream));
+                deliver(new Balancer.ResponseStreamStarted(request.incoming.id(), number));
+                answer(request, reply -> reply.respondStreaming(stream));
             }
         }
 
         @Override
-        public void ended(Outcome outcome, long latencyUs, Backends.Answer answer) {
+        public void onEnded(Outcome outcome, long latencyUs, ServerConnections.BufferedResponse answer) {
             request.attemptsInFlight--;
             if (answer != null && !request.finished) {
-                answer(request, reply -> reply.served(answer));
+                answer(request, reply -> reply.respond(answer));
             } else if (answer != null) {
                 answer.body().release();
             }
@@ -268,13 +268,13 @@
     }
 
     /** Gives the request its one answer. An answer that can't be written becomes a failure, because the request has been accepted. */
-    private void answer(Request request, Consumer<Reply> answer) {
+    private void answer(Request request, Consumer<BalancerDriver.Responder> answer) {
         finish(request);
         try {
             answer.accept(request.reply);
         } catch (RuntimeException e) {
-            log.failure("answer_failed", e, "request", request.incoming.id());
-            request.reply.failed();
+            log.error("answer_failed", e, "request", request.incoming.id());
+            request.reply.fail();
         }
     }
 
@@ -309,16 +309,16 @@
 
     private void handle(Event event) {
         try {
-            balancer.handle(clock.now(), event, actions::add);
+            balancer.handle(clock.nowUs(), event, actions::add);
         } catch (RuntimeException e) {
-            log.failure("decision_failed", e, "on", event);
+            log.error("decision_failed", e, "on", event);
             failRequestOf(event);
         }
         for (Action action : actions) {
             try {
                 carryOut(action);
             } catch (RuntimeException e) {
-                log.failure("action_failed", e, "action", action);
+                log.error("action_failed", e, "action", action);
             }
         }
         actions.clear();
@@ -329,7 +329,7 @@
         String id = event instanceof Balancer.Arrival arrival ? arrival.id()
                 : event instanceof Balancer.AttemptEnded end ? end.id() : null;
         if (id != null) {
-            answerIfOpen(id, Reply::failed);
+            answerIfOpen(id, BalancerDriver.Responder::fail);
         }
     }
 
@@ -339,25 +339,25 @@
         if (action instanceof Balancer.Send send) {
             send(send);
         } else if (action instanceof Balancer.SetTimer timer) {
-            loop.schedule(() -> deliver(new Balancer.TimerFired(timer.token())), Math.max(0, timer.atUs() - clock.now()),
+            loop.schedule(() -> deliver(new Balancer.TimerFired(timer.token())), Math.max(0, timer.atUs() - clock.nowUs()),
                     TimeUnit.MICROSECONDS);
         } else if (action instanceof Balancer.Refuse refuse) {
-            answerIfOpen(refuse.id(), reply -> reply.refused(refuse.retryAfterUs()));
+            answerIfOpen(refuse.id(), reply -> reply.refuse(refuse.retryAfterUs()));
         } else if (action instanceof Balancer.Fail fail) {
-            answerIfOpen(fail.id(), Reply::failed);
+            answerIfOpen(fail.id(), BalancerDriver.Responder::fail);
         } else if (action instanceof Balancer.Cancel cancel) {
             Request request = requests.get(cancel.id());
-            Backends.Attempt attempt = request == null || cancel.attempt() >= request.attempts.size() ? null
+            ServerConnections.Attempt attempt = request == null || cancel.attempt() >= request.attempts.size() ? null
                     : request.attempts.get(cancel.attempt());
             if (attempt != null && request.incoming.limits().cancel()) {
                 attempt.abort(Outcome.CANCELLED);
             }
         } else if (action instanceof Balancer.Release release) {
-            backends.release(release.backend());
+            backends.closeIdle(release.backend());
         } else if (action instanceof Balancer.Watch watch) {
-            discovery.watch(watch.on());
+            discovery.setWatching(watch.on());
         } else if (action instanceof Balancer.Fetch) {
-            discovery.fetch();
+            discovery.fetchFullList();
         } else if (action instanceof Balancer.Log line) {
             log.info("module", "text", line.text());
         } else {
@@ -366,7 +366,7 @@
         }
     }
 
-    private void answerIfOpen(String id, Consumer<Reply> answer) {
+    private void answerIfOpen(String id, Consumer<BalancerDriver.Responder> answer) {
         Request request = requests.get(id);
         if (request != null && !request.finished) {
             answer(request, answer);
@@ -386,27 +386,27 @@
         int number = request.attempts.size();
         request.attempts.add(null);
         request.attemptsPending++;
-        if (beat.heldUp()) {
-            beat.afterLook(() -> beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT - 1));
+        if (beat.isLagging()) {
+            beat.runAfterIoPoll(() -> beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT - 1));
         } else {
             beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT);
         }
     }
 
     private void beginOncePolled(Request request, int number, Balancer.Send send, int pollsLeft) {
-        if (!request.finished && pollsLeft > 0 && request.reply.endMayBeUnread()) {
-            beat.afterLook(() -> beginOncePolled(request, number, send, pollsLeft - 1));
+        if (!request.finished && pollsLeft > 0 && request.reply.mayHaveUnreadClose()) {
+            beat.runAfterIoPoll(() -> beginOncePolled(request, number, send, pollsLeft - 1));
         } else {
             begin(request, number, send);
         }
     }
 
     private void begin(Request request, int number, Balancer.Send send) {
-        if (!request.finished && !request.reply.clientThere()) {
-            clientGone(send.id());
+        if (!request.finished && !request.reply.isClientConnected()) {
+            clientDisconnected(send.id());
         }
         request.attemptsPending--;
-        Backends.Attempt attempt = request.finished ? null : createAttempt(request, number, send);
+        ServerConnections.Attempt attempt = request.finished ? null : createAttempt(request, number, send);
         request.attempts.set(number, attempt);
         if (attempt == null) {
             deliver(new Balancer.AttemptEnded(send.id(), number, send.backend(), Outcome.NOT_SENT, 0, request.finished));
@@ -418,12 +418,12 @@
     }
 
     /** Returns an attempt that may be started, or null if the limits, the time left or the server don't allow one. */
-    private Backends.Attempt createAttempt(Request request, int number, Balancer.Send send) {
-        long leftUs = request.leftUs(clock.now());
+    private ServerConnections.Attempt createAttempt(Request request, int number, Balancer.Send send) {
+        long leftUs = request.leftUs(clock.nowUs());
         long timeoutUs = send.timeoutUs() == 0 ? leftUs : Math.min(send.timeoutUs(), leftUs);
         Balancer.Limits limits = request.incoming.limits();
         return number >= limits.maxAttempts() || timeoutUs <= 0 || request.attemptsInFlight > 0 && !limits.secondCopies() ? null
-                : backends.attempt(send.backend(), request.incoming.outgoing(), timeoutUs, send.sendByUs(),
+                : backends.newAttempt(send.backend(), request.incoming.outgoing(), timeoutUs, send.sendByUs(),
                         new AttemptTracker(request, number, send.backend()));
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/BodyRelay.java
+++ b/proxy/src/main/java/walkpost/proxy/BodyRelay.java
@@ -16,27 +16,27 @@
     /** The side that a body is read from. */
     interface Source {
         /** Pauses reading, because the sink has enough for now, or resumes it. */
-        void reading(boolean on);
+        void setReading(boolean on);
 
         /** Notes that the rest of the body is not needed, because the relay was cancelled. */
-        void unwanted();
+        void relayCancelled();
     }
 
     /**
-     * The side that a body is written to. Exactly one of {@link #end} and {@link #broken} is called, unless the sink is detached or the
+     * The side that a body is written to. Exactly one of {@link #complete} and {@link #broken} is called, unless the sink is detached or the
      * relay is cancelled first.
      */
     interface Sink {
         /** Returns the connection that the body is written to. */
         Channel channel();
 
-        /** Returns whether more can be written; when that becomes possible again, the sink calls {@link BodyRelay#flow}. */
-        default boolean ready() {
+        /** Returns whether more can be written; when that becomes possible again, the sink calls {@link BodyRelay#transfer}. */
+        default boolean isWritable() {
             return channel().isWritable();
         }
 
         /** Writes bytes and takes over their release. */
-        default void data(ByteBuf data) {
+        default void writeData(ByteBuf data) {
             channel().write(new DefaultHttpContent(data));
         }
 
@@ -45,10 +45,10 @@
         }
 
         /** Notes that the body is complete. */
-        void end(HttpHeaders trailers);
+        void bodyCompleted(HttpHeaders trailers);
 
         /** Notes that the rest of the body will never arrive. */
-        void broken();
+        void bodyAborted();
     }
 
     /** Reading is paused while more bytes than this wait to be written, and resumes at half of it. */
@@ -56,7 +56,7 @@
 
     private final ByteBuf start;
     private final Source source;
-    private final Buffers buffers;
+    private final BufferBudget buffers;
     private final Deque<ByteBuf> pending = new ArrayDeque<>();
     private int pendingBytes;
     private Sink sink;
@@ -69,7 +69,7 @@
     /** Whether the source has delivered the whole body. */
     private boolean sourceComplete;
     private boolean finished;
-    /** Whether {@link #flow} is running, which a sink may call again from within a flush. */
+    /** Whether {@link #transfer} is running, which a sink may call again from within a flush. */
     private boolean transferring;
 
     /**
@@ -78,7 +78,7 @@
      * @param start the bytes that have arrived so far; they are already counted in {@code buffers}, and the relay releases them. They can
      *              be written to one sink after another, until bytes beyond them have been written to one
      */
-    BodyRelay(ByteBuf start, Source source, Buffers buffers) {
+    BodyRelay(ByteBuf start, Source source, BufferBudget buffers) {
         this.start = start;
         this.source = source;
         this.buffers = buffers;
@@ -94,27 +94,27 @@
         }
         pending.add(data);
         pendingBytes += data.readableBytes();
-        buffers.hold(data.readableBytes());
-        flow();
+        buffers.reserve(data.readableBytes());
+        transfer();
     }
 
     /** Notes that the body has arrived completely; the source gets no further calls. */
-    void end(HttpHeaders lastTrailers) {
+    void complete(HttpHeaders lastTrailers) {
         if (!finished) {
             trailers = lastTrailers;
             setReading(true);
             sourceComplete = true;
-            flow();
+            transfer();
         }
     }
 
     /** Ends the relay, because the rest of the body will never arrive. */
-    void breakOff() {
+    void abort() {
         if (!finished) {
             Sink lastSink = sink;
             finish();
             if (lastSink != null) {
-                lastSink.broken();
+                lastSink.bodyAborted();
             }
         }
     }
@@ -122,19 +122,19 @@
     // Called by the sink
 
     /** Returns whether a new sink would receive the whole body. */
-    boolean fresh() {
+    boolean isReplayable() {
         return sink == null && !consumed && !finished;
     }
 
     /** Relays the body to a sink, from its first byte. */
-    void to(Sink next) {
+    void relayTo(Sink next) {
         sink = next;
         startWritten = false;
-        flow();
+        transfer();
     }
 
     /** Detaches the sink; cancels the relay if bytes beyond the start were written, because no other sink can get the whole body. */
-    void detach() {
+    void detachSink() {
         sink = null;
         if (consumed) {
             cancel();
@@ -147,13 +147,13 @@
             boolean sourceHasMore = !sourceComplete;
             finish();
             if (sourceHasMore) {
-                source.unwanted();
+                source.relayCancelled();
             }
         }
     }
 
     /** Writes as much as the sink can take, and pauses or resumes reading. */
-    void flow() {
+    void transfer() {
         if (finished || transferring) {
             return;
         }
@@ -165,21 +165,21 @@
         if (!finished && sink != null && sourceComplete && startWritten && pending.isEmpty()) {
             Sink lastSink = sink;
             finish();
-            lastSink.end(trailers);
+            lastSink.bodyCompleted(trailers);
         } else if (!finished) {
-            int limitBytes = buffers.full() ? 0 : HIGH_WATER_MARK_BYTES;
+            int limitBytes = buffers.isExhausted() ? 0 : HIGH_WATER_MARK_BYTES;
             setReading(pendingBytes <= (reading ? limitBytes : limitBytes / 2));
         }
     }
 
     /**
-     * Writes until the sink is full. Flushes may make room at once, so the sink is asked again after each; a call of {@link #flow} by the
+     * Writes until the sink is full. Flushes may make room at once, so the sink is asked again after each; a call of {@link #transfer} by the
      * sink is ignored meanwhile.
      */
     private void writePending() {
         while (canWrite()) {
             while (canWrite()) {
-                sink.data(nextPiece());
+                sink.writeData(nextPiece());
             }
             if (sink != null && !finished) {
                 sink.flush();
@@ -188,7 +188,7 @@
     }
 
     private boolean canWrite() {
-        return sink != null && !finished && (!startWritten || !pending.isEmpty()) && sink.ready();
+        return sink != null && !finished && (!startWritten || !pending.isEmpty()) && sink.isWritable();
     }
 
     private ByteBuf nextPiece() {
@@ -202,19 +202,19 @@
         }
         ByteBuf data = pending.remove();
         pendingBytes -= data.readableBytes();
-        buffers.letGo(data.readableBytes());
+        buffers.release(data.readableBytes());
         return data;
     }
 
     private void setReading(boolean on) {
         if (on != reading && !sourceComplete) {
             reading = on;
-            source.reading(on);
+            source.setReading(on);
         }
     }
 
     private void releaseStart() {
-        buffers.letGo(start.readableBytes());
+        buffers.release(start.readableBytes());
         start.release();
     }
 
@@ -227,7 +227,7 @@
         }
         pending.forEach(ByteBuf::release);
         pending.clear();
-        buffers.letGo(pendingBytes);
+        buffers.release(pendingBytes);
         pendingBytes = 0;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Buffers.java
+++ b/proxy/src/main/java/walkpost/proxy/BufferBudget.java
@@ -3,28 +3,28 @@
 /**
  * Counts the body bytes that all connections of the process buffer, because they share its limited memory. Used on the event loop only.
  */
-final class Buffers {
+final class BufferBudget {
     private final long limitBytes;
     private long reservedBytes;
 
-    Buffers(long limitBytes) {
+    BufferBudget(long limitBytes) {
         this.limitBytes = limitBytes;
     }
 
-    void hold(int bytes) {
+    void reserve(int bytes) {
         reservedBytes += bytes;
     }
 
-    void letGo(int bytes) {
+    void release(int bytes) {
         reservedBytes -= bytes;
     }
 
     /** Returns whether the limit is reached, so that bodies are relayed instead of being buffered further. */
-    boolean full() {
+    boolean isExhausted() {
         return reservedBytes >= limitBytes;
     }
 
-    long held() {
+    long reservedBytes() {
         return reservedBytes;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/ClientConnection.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientConnection.java
@@ -35,7 +35,7 @@
     private static final long SILENT_MS = 500;
 
     private final Frontend frontend;
-    private final Closing closing;
+    private final LingeringClose closing;
     private final PipelinedRequests pipelined;
     private final RequestDecoder decoder = new RequestDecoder();
     /**
@@ -60,7 +60,7 @@
      *
      * @param mayHaveWaited whether the client may have waited in the listener's accept queue
      */
-    ClientConnection(Frontend frontend, Closing closing, boolean mayHaveWaited) {
+    ClientConnection(Frontend frontend, LingeringClose closing, boolean mayHaveWaited) {
         this.frontend = frontend;
         this.closing = closing;
         this.pipelined = new PipelinedRequests(frontend.buffers);
@@ -83,17 +83,17 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
         trackUnreadClose();
-        if (finalResponse != null || closing.begun()) {
+        if (finalResponse != null || closing.isStarted()) {
             ReferenceCountUtil.release(message);
             return;
         }
-        lastReadAtUs = frontend.lagMonitor().arrivedAt();
+        lastReadAtUs = frontend.lagMonitor().earliestArrivalUs();
         if (!isReceivingRequest()) {
             startHeadTimer();
-            frontend.sockets.clientIdle(closing, false);
+            frontend.sockets.setClientIdle(closing, false);
         }
         super.channelRead(ctx, message);
-        if (closing.begun()) {
+        if (closing.isStarted()) {
             cancelReceiveTimer();
         } else if (isReceivingRequest()) {
             startHeadTimer();
@@ -111,10 +111,10 @@
      */
     private void trackUnreadClose() {
         reads++;
-        mayHaveUnreadClose |= frontend.lagMonitor().heldUp();
+        mayHaveUnreadClose |= frontend.lagMonitor().isLagging();
         if (mayHaveUnreadClose) {
             int readsBefore = reads;
-            frontend.lagMonitor().afterLook(() -> mayHaveUnreadClose &= reads != readsBefore);
+            frontend.lagMonitor().runAfterIoPoll(() -> mayHaveUnreadClose &= reads != readsBefore);
         }
     }
 
@@ -128,14 +128,14 @@
      * to be the last on its connection.
      */
     private void markIdleOrClose() {
-        if (exchange != null || finalResponse != null || isReceivingRequest() || closing.begun()) {
+        if (exchange != null || finalResponse != null || isReceivingRequest() || closing.isStarted()) {
             return;
         }
         if (frontend.closesAfterResponses()) {
-            closing.begin();
+            closing.start();
         } else if (hadRequest) {
             // A new connection is not marked idle here: its first request may be waiting unread and is still to be served.
-            frontend.sockets.clientIdle(closing, true);
+            frontend.sockets.setClientIdle(closing, true);
         }
     }
 
@@ -164,7 +164,7 @@
 
     private void silenceElapsed() {
         if (!hadRequest && !isReceivingRequest()) {
-            frontend.sockets.clientIdle(closing, true);
+            frontend.sockets.setClientIdle(closing, true);
         }
         receiveTimer = channel.eventLoop().schedule(this::headTimedOut, RECEIVE_TIMEOUT_MS - SILENT_MS, TimeUnit.MILLISECONDS);
     }
@@ -174,7 +174,7 @@
         if (isReceivingRequest()) {
             closeWith(requestTimeout());
         } else if (exchange == null) {
-            closing.begin();
+            closing.start();
         }
     }
 
@@ -219,7 +219,7 @@
 
     /** Handles one part of a request as the decoder delivers it: a head, a piece of a body, or a decoding failure. */
     void messageDecoded(HttpObject message) {
-        if (finalResponse != null || closing.begun()) {
+        if (finalResponse != null || closing.isStarted()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
@@ -295,7 +295,7 @@
      * the client's close may be behind the bytes that are still unread.
      */
     void setReadPaused(boolean paused) {
-        if (!closing.begun()) {
+        if (!closing.isStarted()) {
             channel.config().setAutoRead(!paused || finalResponse != null);
         }
     }
@@ -309,7 +309,7 @@
             // Drops what the client has sent after the request that it marked as its last, or after the response that announced the close.
             abandonIncompleteRequest();
             pipelined.abandonAll();
-            closing.begin();
+            closing.start();
         } else if (finalResponse != null) {
             sendFinalResponse();
         } else if (receiver != null) {
@@ -333,7 +333,7 @@
 
     void closeIfIdle() {
         if (exchange == null && finalResponse == null && !isReceivingRequest()) {
-            closing.begin();
+            closing.start();
         }
     }
 
@@ -342,7 +342,7 @@
      * requests. Used where the input is not a valid request.
      */
     void closeWith(FullHttpResponse response) {
-        if (finalResponse != null || closing.begun()) {
+        if (finalResponse != null || closing.isStarted()) {
             response.release();
             return;
         }
@@ -365,7 +365,7 @@
     private void sendFinalResponse() {
         HttpUtil.setKeepAlive(finalResponse, false);
         channel.write(finalResponse);
-        closing.begin();
+        closing.start();
     }
 
     Channel channel() {
@@ -406,10 +406,10 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
             // A client that has read nothing of its response for the idle timeout counts as gone.
-            if (event instanceof IdleStateEvent && (exchange != null ? exchange.isStreamingResponse() : closing.begun())) {
+            if (event instanceof IdleStateEvent && (exchange != null ? exchange.isStreamingResponse() : closing.isStarted())) {
                 ctx.close();
             } else if (event instanceof IdleStateEvent && exchange == null) {
-                closing.begin();
+                closing.start();
             }
             super.userEventTriggered(ctx, event);
         }
@@ -417,7 +417,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                frontend.log.failure("connection_failed", cause);
+                frontend.log.error("connection_failed", cause);
             }
             ctx.close();
         }
--- a/proxy/src/main/java/walkpost/proxy/ClientExchange.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientExchange.java
@@ -22,7 +22,7 @@
 import java.util.regex.Pattern;
 
 /** One request of a client and its one response. Used on the event loop only. */
-final class ClientExchange implements Proxy.Reply, BodyRelay.Sink {
+final class ClientExchange implements BalancerDriver.Responder, BodyRelay.Sink {
     private static final Pattern TIMEOUT = Pattern.compile("(\\d{1,8})([mu])");
     private static final Pattern COST = Pattern.compile("\\d{1,9}");
     /** The memory that a queued request takes besides its URI, headers and body. */
@@ -79,12 +79,12 @@
 
     /** Hands the request to the proxy, or responds at once if it is a readiness check or is rejected. */
     void begin() {
-        Proxy.Incoming incoming;
+        BalancerDriver.IncomingRequest incoming;
         try {
             String target = RequestHeadValidator.originForm(head.uri());
             var uri = new QueryStringDecoder(target);
             if (uri.rawPath().equals("/ready")) {
-                respond(frontend.ready() ? Frontend.textResponse(HttpResponseStatus.OK, "ready")
+                respond(frontend.isReady() ? Frontend.textResponse(HttpResponseStatus.OK, "ready")
                         : Frontend.textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready"));
                 return;
             }
@@ -97,7 +97,7 @@
             return;
         }
         id = incoming.id();
-        frontend.proxy.arrived(incoming, this);
+        frontend.proxy.requestArrived(incoming, this);
     }
 
     /** Relays the next piece of a long request body; the relay releases it. */
@@ -109,9 +109,9 @@
     void requestCompleted(HttpHeaders trailers) {
         requestComplete = true;
         arrivedAtUs = connection.lastReadAtUs();
-        requestRelay.end(trailers);
+        requestRelay.complete(trailers);
         if (id != null) {
-            frontend.proxy.whole(id, deadlineUs());
+            frontend.proxy.requestFullyReceived(id, deadlineUs());
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Validates the request against the admission rules and returns it in the form that the proxy takes. */
-    private Proxy.Incoming incoming(String target, QueryStringDecoder uri) throws RejectedRequestException {
+    private BalancerDriver.IncomingRequest incoming(String target, QueryStringDecoder uri) throws RejectedRequestException {
         if (!uri.rawPath().equals("/api") && !uri.rawPath().startsWith("/api/")) {
             throw new RejectedRequestException(HttpResponseStatus.NOT_FOUND,
                     "unknown path; expected /ready, /api or a path under /api/");
@@ -152,15 +152,15 @@
             }
         }
         String requestId = header(headers, Headers.REQUEST_ID);
-        if (frontend.proxy.knows(requestId)) {
+        if (frontend.proxy.hasRequest(requestId)) {
             throw new RejectedRequestException(HttpResponseStatus.CONFLICT,
                     "another request with the same " + Headers.REQUEST_ID + " is in progress");
         }
         List<String> keys = uri.parameters().get("k");
         timeoutUs = timeoutUs(header(headers, Headers.TIMEOUT));
-        return new Proxy.Incoming(requestId, requestClass, tenant, keys == null ? null : keys.get(0),
+        return new BalancerDriver.IncomingRequest(requestId, requestClass, tenant, keys == null ? null : keys.get(0),
                 "1".equals(headers.get(Headers.RETRIED)), costUs(headers.get(Headers.COST)), deadlineUs(), requestComplete, rules.limits(),
-                new Backends.Outgoing(head.method(), target, headers, body, requestRelay));
+                new ServerConnections.OutgoingRequest(head.method(), target, headers, body, requestRelay));
     }
 
     private static String header(HttpHeaders headers, String name) throws RejectedRequestException {
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void served(Backends.Answer served) {
+    public void respond(ServerConnections.BufferedResponse served) {
         var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, served.body());
         Headers.copyEndToEnd(served.headers(), response.headers());
         HttpUtil.setContentLength(response, served.body().readableBytes());
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void refused(long retryAfterUs) {
+    public void refuse(long retryAfterUs) {
         FullHttpResponse response = Frontend.textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE,
                 "refused for now; the request was not processed and may be retried");
         if (retryAfterUs > 0) {
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void failed() {
+    public void fail() {
         respond(Frontend.textResponse(HttpResponseStatus.BAD_GATEWAY, "the request failed; it may have taken effect"));
     }
 
@@ -232,11 +232,11 @@
     }
 
     @Override
-    public void streams(Backends.Stream stream) {
+    public void respondStreaming(ServerConnections.StreamedResponse stream) {
         if (!connection.isCurrent(this) || !requestComplete) {
             // A response cannot be relayed while its request is still being received.
             stream.body().cancel();
-            failed();
+            fail();
             return;
         }
         release();
@@ -253,7 +253,7 @@
         HttpUtil.setKeepAlive(response, keepAlive);
         connection.channel().write(response);
         responseRelay = stream.body();
-        responseRelay.to(this);
+        responseRelay.relayTo(this);
     }
 
     /** Returns whether a long response is being relayed to the client. */
@@ -264,7 +264,7 @@
     /** Relays more of a long response if there is one; called when the client's connection can be written to again. */
     void transferResponse() {
         if (responseRelay != null) {
-            responseRelay.flow();
+            responseRelay.transfer();
         }
     }
 
@@ -274,9 +274,9 @@
     }
 
     @Override
-    public void end(HttpHeaders trailers) {
+    public void bodyCompleted(HttpHeaders trailers) {
         responseRelay = null;
-        connection.channel().writeAndFlush(Headers.last(trailers));
+        connection.channel().writeAndFlush(Headers.lastContent(trailers));
         connection.exchangeFinished(keepAlive);
     }
 
@@ -285,7 +285,7 @@
      * closed.
      */
     @Override
-    public void broken() {
+    public void bodyAborted() {
         responseRelay = null;
         try {
             connection.channel().config().setOption(ChannelOption.SO_LINGER, 0);
@@ -300,29 +300,29 @@
         }
         released = true;
         if (requestRelay == null) {
-            frontend.buffers.letGo(body.readableBytes());
+            frontend.buffers.release(body.readableBytes());
             body.release();
         } else {
-            requestRelay.breakOff();
+            requestRelay.abort();
         }
     }
 
     @Override
-    public boolean clientThere() {
+    public boolean isClientConnected() {
         return connection.isCurrent(this) && connection.channel().isActive();
     }
 
     @Override
-    public boolean endMayBeUnread() {
+    public boolean mayHaveUnreadClose() {
         return connection.mayHaveUnreadClose();
     }
 
     /** Fails the exchange, because the process is about to end; does nothing if the request is incomplete or its response has started. */
     void failNow() {
         if (requestComplete && responseRelay == null) {
-            failed();
+            fail();
             if (id != null) {
-                frontend.proxy.clientGone(id);
+                frontend.proxy.clientDisconnected(id);
             }
         }
     }
@@ -341,7 +341,7 @@
         if (responseRelay != null) {
             responseRelay.cancel();
         } else if (id != null) {
-            frontend.proxy.clientGone(id);
+            frontend.proxy.clientDisconnected(id);
         }
         release();
     }
--- a/proxy/src/main/java/walkpost/proxy/Listener.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientListener.java
@@ -1,9 +1,9 @@
 package walkpost.proxy;
 
 /** Accepts clients' connections. */
-interface Listener {
+interface ClientListener {
     /** Pauses accepting, or resumes it. */
-    void accept(boolean on);
+    void setAccepting(boolean on);
 
     /** Stops accepting for good. */
     void close();
--- a/proxy/src/main/java/walkpost/proxy/Config.java
+++ b/proxy/src/main/java/walkpost/proxy/Config.java
@@ -43,33 +43,33 @@
     private static final Set<String> OPTIONAL = Set.of("known", "operator", "extra");
 
     /** Thrown if a proxy cannot run with a configuration; the message is for the operators and names the field. */
-    static final class BadConfig extends Exception {
+    static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadConfig(String message) {
+        InvalidConfigException(String message) {
             super(message);
         }
     }
 
-    static Config read(Path file) throws BadConfig {
+    static Config read(Path file) throws Config.InvalidConfigException {
         try {
-            return parse(JSON.readTree(new StartRetry().untilDone("configuration", () -> Files.readAllBytes(file))));
+            return parse(JSON.readTree(new StartupRetry().callWithRetry("configuration", () -> Files.readAllBytes(file))));
         } catch (JsonProcessingException e) {
-            throw new BadConfig("the configuration file is not valid JSON: " + e.getOriginalMessage());
+            throw new Config.InvalidConfigException("the configuration file is not valid JSON: " + e.getOriginalMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new BadConfig("the thread was interrupted while it read the configuration file");
-        } catch (BadConfig e) {
+            throw new Config.InvalidConfigException("the thread was interrupted while it read the configuration file");
+        } catch (Config.InvalidConfigException e) {
             throw e;
         } catch (Exception e) {
-            throw new BadConfig("the configuration file cannot be read: " + e);
+            throw new Config.InvalidConfigException("the configuration file cannot be read: " + e);
         }
     }
 
-    static Config parse(JsonNode json) throws BadConfig {
+    static Config parse(JsonNode json) throws Config.InvalidConfigException {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
-            throw new BadConfig("'settings': missing or not a JSON object");
+            throw new Config.InvalidConfigException("'settings': missing or not a JSON object");
         }
         var values = new HashMap<String, String>();
         flatten("", settings, values);
@@ -79,10 +79,10 @@
                     parseSockets(json), parseMemoryBytes(json), parseCores(json),
                     json.path("known").isObject() ? json.path("known") : null,
                     SettingsReader.read(values, parseSeed(json)),
-                    SettingsReader.whole(values, "bounds.conn_idle_us"),
-                    SettingsReader.whole(values, "bounds.connect_timeout_us"), Set.copyOf(collectFieldPaths("", json, new HashSet<>())));
+                    SettingsReader.wholeNumber(values, "bounds.conn_idle_us"),
+                    SettingsReader.wholeNumber(values, "bounds.connect_timeout_us"), Set.copyOf(collectFieldPaths("", json, new HashSet<>())));
         } catch (IllegalArgumentException e) {
-            throw new BadConfig("'settings': " + e.getMessage());
+            throw new Config.InvalidConfigException("'settings': " + e.getMessage());
         }
     }
 
@@ -100,12 +100,12 @@
     /**
      * Returns a new configuration unchanged if it may replace this one.
      *
-     * @throws BadConfig if it lacks a field that this one has: its file was probably cut short, so the rest cannot be trusted
+     * @throws Config.InvalidConfigException if it lacks a field that this one has: its file was probably cut short, so the rest cannot be trusted
      */
-    Config next(Config replacement) throws BadConfig {
+    Config checkedReplacement(Config replacement) throws Config.InvalidConfigException {
         for (String key : keys) {
             if (!replacement.keys.contains(key)) {
-                throw new BadConfig("'" + key + "': missing, but the current configuration has it");
+                throw new Config.InvalidConfigException("'" + key + "': missing, but the current configuration has it");
             }
         }
         return replacement;
@@ -126,52 +126,52 @@
         }
     }
 
-    private static String requiredText(JsonNode json, String field) throws BadConfig {
+    private static String requiredText(JsonNode json, String field) throws Config.InvalidConfigException {
         String text = json.path(field).asText("");
         if (text.isEmpty()) {
-            throw new BadConfig("'" + field + "': missing");
+            throw new Config.InvalidConfigException("'" + field + "': missing");
         }
         return text;
     }
 
-    private static InetSocketAddress requiredAddress(JsonNode json, String field) throws BadConfig {
+    private static InetSocketAddress requiredAddress(JsonNode json, String field) throws Config.InvalidConfigException {
         String text = requiredText(json, field);
-        InetSocketAddress address = address(text);
+        InetSocketAddress address = parseAddress(text);
         if (address == null) {
-            throw new BadConfig("'" + field + "': '" + text + "' is not a numeric IP address and port, such as 127.0.0.1:8080");
+            throw new Config.InvalidConfigException("'" + field + "': '" + text + "' is not a numeric IP address and port, such as 127.0.0.1:8080");
         }
         return address;
     }
 
-    private static long parseSeed(JsonNode json) throws BadConfig {
+    private static long parseSeed(JsonNode json) throws Config.InvalidConfigException {
         String text = requiredText(json, "seed");
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadConfig("'seed': '" + text + "' is not a hexadecimal number of up to 64 bits");
+            throw new Config.InvalidConfigException("'seed': '" + text + "' is not a hexadecimal number of up to 64 bits");
         }
     }
 
-    private static int parseSockets(JsonNode json) throws BadConfig {
+    private static int parseSockets(JsonNode json) throws Config.InvalidConfigException {
         JsonNode limit = json.path("limits").path("sockets");
         if (!limit.canConvertToInt() || limit.asInt() < 128) {
-            throw new BadConfig("'limits.sockets': '" + limit.asText() + "' is not an integer of at least 128");
+            throw new Config.InvalidConfigException("'limits.sockets': '" + limit.asText() + "' is not an integer of at least 128");
         }
         return limit.asInt();
     }
 
-    private static long parseMemoryBytes(JsonNode json) throws BadConfig {
+    private static long parseMemoryBytes(JsonNode json) throws Config.InvalidConfigException {
         long megabytes = json.path("limits").path("memory_mb").asLong(192);
         if (megabytes < 1) {
-            throw new BadConfig("'limits.memory_mb': " + megabytes + " is not at least 1");
+            throw new Config.InvalidConfigException("'limits.memory_mb': " + megabytes + " is not at least 1");
         }
         return megabytes * 1024 * 1024;
     }
 
-    private static double parseCores(JsonNode json) throws BadConfig {
+    private static double parseCores(JsonNode json) throws Config.InvalidConfigException {
         double cores = json.path("limits").path("cores").asDouble(1);
         if (!(cores > 0)) {
-            throw new BadConfig("'limits.cores': " + cores + " is not above 0");
+            throw new Config.InvalidConfigException("'limits.cores': " + cores + " is not above 0");
         }
         return cores;
     }
@@ -180,7 +180,7 @@
      * Parses a numeric IP address and a port; returns null if the text is anything else. Host names are not accepted, because there is no
      * DNS, and resolving a name could block.
      */
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (host == null) {
--- a/proxy/src/main/java/walkpost/proxy/Sockets.java
+++ b/proxy/src/main/java/walkpost/proxy/ConnectionBudget.java
@@ -10,7 +10,7 @@
  * is closed, then the client's connection that has been idle for longest. If none is idle, the proxy stops accepting clients for a while.
  * Used on the event loop only.
  */
-final class Sockets {
+final class ConnectionBudget {
     /** The descriptors kept for the jar, the selector, the listener, discovery and connections that are being closed. */
     private static final int RESERVED_DESCRIPTORS = 96;
     /**
@@ -24,37 +24,37 @@
     private final int maxConnections;
     private final int maxClients;
     private final Set<Channel> idleServerConnections = new LinkedHashSet<>();
-    private final Set<Closing> idleClients = new LinkedHashSet<>();
+    private final Set<LingeringClose> idleClients = new LinkedHashSet<>();
     /** The clients whose connections are closed on this side and still hold their descriptors, the longest first. */
-    private final Set<Closing> lingeringClients = new LinkedHashSet<>();
+    private final Set<LingeringClose> lingeringClients = new LinkedHashSet<>();
     private int clients;
     private int serverConnections;
-    private Listener listener;
+    private ClientListener listener;
     private boolean accepting = true;
 
     /** Creates the budget of a process that may open {@code descriptorLimit} descriptors. */
-    Sockets(int descriptorLimit) {
+    ConnectionBudget(int descriptorLimit) {
         this(descriptorLimit, RESERVED_DESCRIPTORS);
     }
 
     /** Returns the budget of one of two processes that share a limit; it is half of it, because neither knows when the other runs. */
-    static Sockets halfOf(int descriptorLimit) {
-        return new Sockets(descriptorLimit / 2, RESERVED_DESCRIPTORS_SHARED);
+    static ConnectionBudget forSharedLimit(int descriptorLimit) {
+        return new ConnectionBudget(descriptorLimit / 2, RESERVED_DESCRIPTORS_SHARED);
     }
 
-    private Sockets(int descriptorLimit, int reservedDescriptors) {
+    private ConnectionBudget(int descriptorLimit, int reservedDescriptors) {
         maxConnections = Math.max(16, descriptorLimit - reservedDescriptors);
         // A request needs a connection on either side, so clients alone must not use up the connections that their requests need.
         maxClients = maxConnections * 5 / 8;
     }
 
     /** Sets the listener that stops accepting clients while there is no room for them. */
-    void listener(Listener newListener) {
+    void setListener(ClientListener newListener) {
         listener = newListener;
     }
 
     /** Counts a client's connection until it is closed, and makes room or stops accepting if it took the last place. */
-    void clientOpened(Closing client) {
+    void clientOpened(LingeringClose client) {
         clients++;
         client.channel().closeFuture().addListener(closed -> {
             clients--;
@@ -72,7 +72,7 @@
     private void accept(boolean on) {
         if (listener != null && accepting != on) {
             accepting = on;
-            listener.accept(on);
+            listener.setAccepting(on);
         }
     }
 
@@ -81,12 +81,12 @@
     }
 
     /** Returns whether one more connection to a server may be opened. If there is no room, it closes an idle connection to make some. */
-    boolean roomForBackend() {
+    boolean makeRoomForServerConnection() {
         return clients + serverConnections < maxConnections || closeIdleServerConnection() || closeIdleClient();
     }
 
     /** Counts a connection to a server until it is closed. */
-    void backendOpened(Channel channel) {
+    void serverConnectionOpened(Channel channel) {
         serverConnections++;
         channel.closeFuture().addListener(closed -> {
             serverConnections--;
@@ -95,20 +95,20 @@
     }
 
     /** Records whether a connection to a server is idle, so that it may be closed to make room. */
-    void backendIdle(Channel channel, boolean idle) {
+    void setServerConnectionIdle(Channel channel, boolean idle) {
         mark(idleServerConnections, channel, idle && channel.isOpen());
     }
 
     /** Records whether a client's connection is idle. An idle one may be closed for a client that waits to be accepted. */
-    void clientIdle(Closing client, boolean idle) {
-        mark(idleClients, client, idle && !client.begun() && client.channel().isOpen());
+    void setClientIdle(LingeringClose client, boolean idle) {
+        mark(idleClients, client, idle && !client.isStarted() && client.channel().isOpen());
         if (idle) {
             accept(true);
         }
     }
 
     /** Records that this side has closed a client's connection, which stays open until the client closes its side. */
-    void clientLingers(Closing client) {
+    void clientLingering(LingeringClose client) {
         lingeringClients.add(client);
     }
 
@@ -133,14 +133,14 @@
      */
     private boolean closeIdleClient() {
         boolean tooManyLinger = lingeringClients.size() >= MAX_LINGERING_CLIENTS;
-        Closing longest = removeFirst(tooManyLinger ? lingeringClients : idleClients);
+        LingeringClose longest = removeFirst(tooManyLinger ? lingeringClients : idleClients);
         if (longest == null) {
             return false;
         }
         if (tooManyLinger) {
-            longest.cut();
+            longest.closeNow();
         } else {
-            longest.begin();
+            longest.start();
         }
         return true;
     }
--- a/proxy/src/main/java/walkpost/proxy/ConnectionPool.java
+++ b/proxy/src/main/java/walkpost/proxy/ConnectionPool.java
@@ -11,11 +11,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Pools the open connections to one server. It is Netty's pool, with the idle connections kept in a {@link RestingConnections}. Used on
+ * Pools the open connections to one server. It is Netty's pool, with the idle connections kept in a {@link IdleConnections}. Used on
  * the event loop only.
  */
 final class ConnectionPool extends SimpleChannelPool {
-    private final RestingConnections idleConnections;
+    private final IdleConnections idleConnections;
     private final LongSupplier maxIdleUs;
     private ChannelFuture connecting;
 
@@ -25,7 +25,7 @@
      * @param onConnectionCreated is given each new connection, to set up its pipeline
      * @param maxIdleUs returns how long a connection may have been idle when it is taken, in microseconds
      */
-    ConnectionPool(Bootstrap bootstrap, Consumer<Channel> onConnectionCreated, RestingConnections idleConnections, LongSupplier maxIdleUs) {
+    ConnectionPool(Bootstrap bootstrap, Consumer<Channel> onConnectionCreated, IdleConnections idleConnections, LongSupplier maxIdleUs) {
         super(bootstrap, new AbstractChannelPoolHandler() {
             @Override
             public void channelCreated(Channel channel) {
