--- a/proxy/src/main/java/walkpost/proxy/Discovery.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
@@ -1,6 +1,7 @@
 package walkpost.proxy;
 
 import walkpost.Balancer;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.ListKind;
 import walkpost.proxy.ListVersion.Verdict;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -22,7 +23,7 @@
  * ({@link ListVersion}). At most six descriptors are in use: a watch and a call for the full list may be open at once, with up to three
  * connections each. All methods run on the event loop.
  */
-final class Discovery {
+final class DiscoveryClient {
     private static final String PATH = "/v1/endpoints";
     /**
      * How long a starting proxy waits for its first call before it serves with the list of its previous run. If many proxies start at once,
@@ -31,14 +32,14 @@
     static final long INITIAL_WAIT_MS = 300;
     /** The pause before the next call after a response that came early and without changes. */
     private static final long NO_CHANGE_PAUSE_MS = 50;
-    private static final Map<String, Balancer.State> STATES = Map.of(
-            "ready", Balancer.State.READY,
-            "draining", Balancer.State.DRAINING,
-            "gone", Balancer.State.GONE);
+    private static final Map<String, BackendState> STATES = Map.of(
+            "ready", BackendState.READY,
+            "draining", BackendState.DRAINING,
+            "gone", BackendState.GONE);
 
     private final EventLoop loop;
-    private final Log log = new Log("discovery");
-    private final Proxy proxy;
+    private final EventLog log = new EventLog("discovery");
+    private final BalancerDriver proxy;
     private final ListRequest.Factory requestFactory;
     /** Whether an agent on this machine pushes lists; if not, they are requested from a service that all proxies share. */
     private boolean pushed;
@@ -54,13 +55,13 @@
     private final DiscoveryRetryPolicy retryPolicy = new DiscoveryRetryPolicy();
     private final ServerStartTimes startTimes = new ServerStartTimes();
 
-    Discovery(EventLoop loop, ChannelFactory<Channel> transport, Proxy proxy, InetSocketAddress address, Balancer.Settings settings) {
+    DiscoveryClient(EventLoop loop, ChannelFactory<Channel> transport, BalancerDriver proxy, InetSocketAddress address, Balancer.Settings settings) {
         this(loop, proxy, address, settings,
                 (server, uri, connectTimeoutMs, callback) ->
                         new ListRequest(loop, transport, server, uri, connectTimeoutMs, callback)::end);
     }
 
-    Discovery(EventLoop loop, Proxy proxy, InetSocketAddress address, Balancer.Settings settings, ListRequest.Factory requestFactory) {
+    DiscoveryClient(EventLoop loop, BalancerDriver proxy, InetSocketAddress address, Balancer.Settings settings, ListRequest.Factory requestFactory) {
         this.loop = loop;
         this.proxy = proxy;
         this.requestFactory = requestFactory;
@@ -73,10 +74,10 @@
      * Applies changed settings. If lists are pushed from now on, this opens the watch at once, because a balancer that intended to reopen
      * it no longer does.
      */
-    void tune(Balancer.Settings settings) {
+    void applySettings(Balancer.Settings settings) {
         setTiming(settings);
         if (pushed) {
-            watch(true);
+            setWatching(true);
         }
     }
 
@@ -86,24 +87,24 @@
     }
 
     /** Returns whether the first call has ended or was waited for long enough, so that the proxy should serve with the list it has. */
-    boolean settled() {
+    boolean isInitialWaitOver() {
         return initialWaitOver;
     }
 
     /** Starts with the list of this proxy's previous run, null if there is none; it is the first list that the balancer gets. */
-    void known(JsonNode list) {
+    void start(JsonNode list) {
         if (list != null) {
             version = new ListVersion(version.epoch(), list.path("version").asLong(-1));
         }
         loop.schedule(() -> initialWaitOver = true, INITIAL_WAIT_MS, TimeUnit.MILLISECONDS);
-        proxy.members(ListKind.CACHED, list == null ? List.of() : validEntries(list));
+        proxy.updateServerList(ListKind.CACHED, list == null ? List.of() : validEntries(list));
         if (pushed) {
-            watch(true);
+            setWatching(true);
         }
     }
 
     /** Opens the watch or closes it; a watch that is open already continues unchanged. */
-    void watch(boolean on) {
+    void setWatching(boolean on) {
         watchWanted = on;
         if (!on && watchCall != null) {
             watchCall.end();
@@ -118,22 +119,22 @@
      * Continues at another address of discovery. The old one is about to close its connections, so open calls are ended and repeated at
      * the new address, which is asked for the full list regardless of the current one.
      */
-    void moveTo(InetSocketAddress newAddress) {
+    void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
         address = newAddress;
         version = version.startEpoch();
         boolean watching = watchWanted;
-        watch(false);
-        watch(watching);
+        setWatching(false);
+        setWatching(watching);
         if (fullListCall != null) {
-            fetch();
+            fetchFullList();
         }
     }
 
     /** Requests the full list once. An open request is replaced, because its response may be older than this call. */
-    void fetch() {
+    void fetchFullList() {
         if (fullListCall != null) {
             fullListCall.end();
         }
@@ -151,7 +152,7 @@
         notifyOrRetryAgent();
         long retryMs = watching ? retryPolicy.watchRetryMs(failure, random.nextDouble()) : DiscoveryRetryPolicy.USE_BACK_OFF;
         if (retryMs != DiscoveryRetryPolicy.USE_BACK_OFF) {
-            loop.schedule(() -> watch(watchWanted), retryMs, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> setWatching(watchWanted), retryMs, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -166,7 +167,7 @@
             log.warn("list_out_of_order", "version", number, "full", full, "holding", version.number(), "verdict", verdict);
         }
         version = version.after(verdict, number);
-        List<Backends.Listed> entries = validEntries(list);
+        List<ServerConnections.ListedServer> entries = validEntries(list);
         if (verdict == Verdict.TAKE && !full && entries.size() < list.path("servers").size()) {
             // A malformed entry is a lost change, which may have been a drain: only the full list can replace it.
             version = version.startEpoch();
@@ -174,7 +175,7 @@
         if (call != watchCall) {
             fullListCall = null;
             if (verdict == Verdict.OVERTAKEN) {
-                fetch();
+                fetchFullList();
             }
         } else if (changed || tookMs >= call.schedule.waitMs() / 2 && verdict == Verdict.TAKE) {
             // The next call starts before the changes are applied, because a watch counts as ended 200 ms after its last response.
@@ -184,8 +185,8 @@
             loop.schedule(() -> continueWatch(call), NO_CHANGE_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
         if (verdict == Verdict.TAKE || verdict == Verdict.TAKE_ANEW) {
-            startTimes.listApplied(proxy.now());
-            proxy.members(full ? ListKind.FULL : ListKind.DELTA, entries);
+            startTimes.listApplied(proxy.nowUs());
+            proxy.updateServerList(full ? ListKind.FULL : ListKind.DELTA, entries);
         }
     }
 
@@ -200,21 +201,21 @@
     /** Notifies the balancer, which decides when to call again; but if an agent on this machine pushes lists, reopens the watch soon. */
     private void notifyOrRetryAgent() {
         if (pushed) {
-            loop.schedule(() -> watch(watchWanted), timing.agentRetryMs(), TimeUnit.MILLISECONDS);
+            loop.schedule(() -> setWatching(watchWanted), timing.agentRetryMs(), TimeUnit.MILLISECONDS);
         } else {
-            proxy.members(ListKind.FAILED, List.of());
+            proxy.updateServerList(ListKind.FAILED, List.of());
         }
     }
 
     /** Returns the valid entries of a list and logs the others. */
-    private List<Backends.Listed> validEntries(JsonNode list) {
-        var listed = new ArrayList<Backends.Listed>();
-        long now = proxy.now();
+    private List<ServerConnections.ListedServer> validEntries(JsonNode list) {
+        var listed = new ArrayList<ServerConnections.ListedServer>();
+        long now = proxy.nowUs();
         for (JsonNode entry : list.path("servers")) {
             startTimes.observeStart(entry.path("started_ms").asLong(), now);
         }
         for (JsonNode entry : list.path("servers")) {
-            Backends.Listed parsed = parseEntry(entry, now);
+            ServerConnections.ListedServer parsed = parseEntry(entry, now);
             if (parsed == null) {
                 log.warn("entry_left_out", "reason", "malformed", "entry", entry);
             } else {
@@ -225,15 +226,15 @@
     }
 
     /** Parses an entry; returns null if it is malformed. */
-    private Backends.Listed parseEntry(JsonNode entry, long now) {
-        Balancer.State state = STATES.get(entry.path("state").asText());
-        InetSocketAddress address = Config.address(entry.path("addr").asText());
+    private ServerConnections.ListedServer parseEntry(JsonNode entry, long now) {
+        BackendState state = STATES.get(entry.path("state").asText());
+        InetSocketAddress address = Config.parseAddress(entry.path("addr").asText());
         String id = entry.path("id").asText();
         double weight = entry.path("weight").asDouble(1);
         if (state == null || address == null || id.isEmpty() || !(weight > 0) || Double.isInfinite(weight)) {
             return null;
         }
-        return new Backends.Listed(new Balancer.Backend(id, state, entry.path("kind").asText(null),
+        return new ServerConnections.ListedServer(new Balancer.Backend(id, state, entry.path("kind").asText(null),
                 entry.path("zone").asText(null), entry.path("cell").asInt(),
                 startTimes.onProxyClockUs(id, entry.path("started_ms").asLong(), now), weight), address);
     }
--- a/proxy/src/main/java/walkpost/proxy/ClientsSocket.java
+++ b/proxy/src/main/java/walkpost/proxy/DrainingServerSocketChannel.java
@@ -7,13 +7,13 @@
  * client that has connected, even if it is not accepted yet, but the system resets the connections that wait in the accept queue of a
  * socket that is closed. Used on its event loop only.
  */
-class ClientsSocket extends RetryingServerSocketChannel {
+class DrainingServerSocketChannel extends RetryingServerSocketChannel {
     /** Connections accepted beyond the counted limit of descriptors; this leaves some of the spare descriptors unused. */
     private static final int MAX_QUEUED_CONNECTIONS = 48;
     /** A failed accept is retried at once during the close, because the socket cannot be asked again later. */
     private static final int MAX_ACCEPT_FAILURES = 16;
 
-    ClientsSocket(SystemCallFailures failures) {
+    DrainingServerSocketChannel(SystemCallFailureCounter failures) {
         super(failures);
     }
 
--- a/proxy/src/main/java/walkpost/proxy/Log.java
+++ b/proxy/src/main/java/walkpost/proxy/EventLog.java
@@ -9,11 +9,11 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** Logs the events of one component of the proxy. An event is one word, followed by fields. Thread-safe. */
-final class Log {
+final class EventLog {
     private final Logger logger;
 
     /** Creates the log of a component, under the name by which operators know it. */
-    Log(String component) {
+    EventLog(String component) {
         logger = LoggerFactory.getLogger(component);
     }
 
@@ -21,11 +21,11 @@
      * Opens standard error anew, so that logging goes on after its descriptor is closed, which the JDK does when it closes an inherited
      * socket. If it can't be opened, the log ends when that socket is closed.
      */
-    static void keepErrorStream() {
+    static void reopenErrorStream() {
         try {
             System.setErr(new PrintStream(new FileOutputStream("/proc/self/fd/2", true), true, StandardCharsets.UTF_8));
         } catch (FileNotFoundException e) {
-            new Log("log").warn("stream_not_kept", "reason", e.getMessage());
+            new EventLog("log").warn("stream_not_kept", "reason", e.getMessage());
         }
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** Logs a fault of this program with its cause and the line that threw it; {@code fields} as for {@link #info}. */
-    void failure(String event, Throwable cause, Object... fields) {
+    void error(String event, Throwable cause, Object... fields) {
         log(logger.atError().setCause(cause), event, fields);
     }
 
--- a/proxy/src/main/java/walkpost/proxy/TakenOut.java
+++ b/proxy/src/main/java/walkpost/proxy/ExcludedServers.java
@@ -9,31 +9,31 @@
  * The excluded servers: the union of the exclusions of all sources, which are the operator endpoint of this proxy and the fleet. A server
  * is in use again once no source excludes it. Used on the event loop only.
  */
-final class TakenOut {
-    private final Proxy proxy;
+final class ExcludedServers {
+    private final BalancerDriver proxy;
     /** The sources that exclude a server, by its id; a server in use has no entry. */
-    private final Map<String, Set<Exclusions>> sourcesById = new HashMap<>();
+    private final Map<String, Set<ExclusionStore>> sourcesById = new HashMap<>();
 
-    TakenOut(Proxy proxy) {
+    ExcludedServers(BalancerDriver proxy) {
         this.proxy = proxy;
     }
 
     /** Returns whether a server is listed by discovery or excluded, so that operators may name it. */
     boolean isKnown(String id) {
-        return proxy.knowsBackend(id);
+        return proxy.isKnownServer(id);
     }
 
     /** Adds a source's exclusion of a server. */
-    void exclude(String id, Exclusions source) {
-        Set<Exclusions> sources = sourcesById.computeIfAbsent(id, i -> new HashSet<>(2));
+    void exclude(String id, ExclusionStore source) {
+        Set<ExclusionStore> sources = sourcesById.computeIfAbsent(id, i -> new HashSet<>(2));
         if (sources.add(source) && sources.size() == 1) {
-            proxy.excluded(id);
+            proxy.excludeServer(id);
         }
     }
 
     /** Removes a source's exclusion of a server; returns whether the server is in use again. */
-    boolean include(String id, Exclusions source) {
-        Set<Exclusions> sources = sourcesById.get(id);
+    boolean include(String id, ExclusionStore source) {
+        Set<ExclusionStore> sources = sourcesById.get(id);
         if (sources == null) {
             return true;
         }
@@ -41,7 +41,7 @@
             return false;
         }
         sourcesById.remove(id);
-        proxy.included(id);
+        proxy.includeServer(id);
         return true;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Exclusions.java
+++ b/proxy/src/main/java/walkpost/proxy/ExclusionStore.java
@@ -22,7 +22,7 @@
  * that outlives the process. During an upgrade two processes serve as one proxy, and an exclusion that either of them receives applies to
  * both; a file exists or not, so they need neither locks nor messages between them. Used on the event loop only.
  */
-final class Exclusions {
+final class ExclusionStore {
     /** In bytes of UTF-8. A file name has at most 255 bytes, and Base64 takes four of them for three bytes of an id. */
     static final int LONGEST_ID = 180;
     /** How often the directory is read. The platform allows 300 ms from a call until no new requests are sent to the server. */
@@ -38,8 +38,8 @@
     }
 
     private final EventLoop loop;
-    private final Log log = new Log("operators");
-    private final TakenOut allSources;
+    private final EventLog log = new EventLog("operators");
+    private final ExcludedServers allSources;
     private final Path directory;
     private final String source;
     private final Set<String> excluded = new HashSet<>();
@@ -53,7 +53,7 @@
      * @param allSources combines the exclusions of all sources
      * @param source names the source in the log
      */
-    Exclusions(EventLoop loop, TakenOut allSources, Path directory, String source) {
+    ExclusionStore(EventLoop loop, ExcludedServers allSources, Path directory, String source) {
         this.loop = loop;
         this.allSources = allSources;
         this.directory = directory;
@@ -93,7 +93,7 @@
     }
 
     /** Applies a decision made elsewhere, even if the server is not known here or the change cannot be stored. */
-    void obey(String id, boolean exclude) {
+    void apply(String id, boolean exclude) {
         try {
             write(id, exclude);
             unwritten.remove(id);
@@ -110,7 +110,7 @@
     }
 
     /** Returns the ids of the servers that this source excludes. */
-    Set<String> standing() {
+    Set<String> excludedIds() {
         return Set.copyOf(excluded);
     }
 
--- a/proxy/src/main/java/walkpost/proxy/LoopWakeup.java
+++ b/proxy/src/main/java/walkpost/proxy/FaultTolerantIoHandlerFactory.java
@@ -15,13 +15,13 @@
  * because the task is in the queue by then. Once a timer of the loop itself runs every few milliseconds, they stop waking the loop, and
  * tasks wait for that timer. Any thread may wake a loop; everything else runs on the loop.
  */
-final class LoopWakeup implements IoHandlerFactory {
+final class FaultTolerantIoHandlerFactory implements IoHandlerFactory {
     private final IoHandlerFactory delegate;
-    private final SystemCallFailures failures;
+    private final SystemCallFailureCounter failures;
     private volatile boolean timerRuns;
 
     /** Creates a factory that wraps the handlers of another one. */
-    LoopWakeup(IoHandlerFactory delegate, SystemCallFailures failures) {
+    FaultTolerantIoHandlerFactory(IoHandlerFactory delegate, SystemCallFailureCounter failures) {
         this.delegate = delegate;
         this.failures = failures;
     }
@@ -45,7 +45,7 @@
         if (!(error.getCause() instanceof IOException cause)) {
             throw error;
         }
-        failures.failed("wakeup", cause);
+        failures.record("wakeup", cause);
     }
 
     private final class Handler implements IoHandler {
--- a/proxy/src/main/java/walkpost/proxy/FleetSide.java
+++ b/proxy/src/main/java/walkpost/proxy/FleetAccess.java
@@ -6,7 +6,7 @@
  * Gives the rest of the proxy access to the fleet without using the fleet's classes, so that none of them is loaded if the fleet is off.
  * Any thread may call. The stage that a call returns completes, on any thread, with the whole line that answers the operator.
  */
-interface FleetSide {
+interface FleetAccess {
     /**
      * The status that a proxy publishes to the other members.
      *
@@ -15,19 +15,19 @@
      * @param servers the number of tile servers that the proxy may send to
      * @param version the version of the program
      */
-    record Condition(boolean ready, int open, int servers, String version) { }
+    record ProxyStatus(boolean ready, int open, int servers, String version) { }
 
     /** Returns the members as this one sees them, and its counters. */
-    CompletionStage<String> fleet();
+    CompletionStage<String> describeFleet();
 
     /** Returns the orders in force. */
-    CompletionStage<String> orders();
+    CompletionStage<String> describeOrders();
 
     /** Returns the entries of a topic. */
-    CompletionStage<String> facts(String topic);
+    CompletionStage<String> describeEntries(String topic);
 
     /** Returns how many members have an order on a tile server, or a later one, and the names of some that lack it. */
-    CompletionStage<String> held(String server, String orderId);
+    CompletionStage<String> describeOrderCoverage(String server, String orderId);
 
     /**
      * Issues an order that excludes a tile server from all proxies, or includes it again.
@@ -35,7 +35,7 @@
      * @param orderId the caller's own id, unique: an order that is sent again is carried out once
      * @param replaces the id of the order to replace, {@code -} if it must be the first on this server, null to replace any order in force
      */
-    CompletionStage<String> order(String server, boolean out, String orderId, String replaces);
+    CompletionStage<String> issueOrder(String server, boolean out, String orderId, String replaces);
 
     /** Leaves the fleet and notifies the other members. */
     void close();
--- a/proxy/src/main/java/walkpost/proxy/Frontend.java
+++ b/proxy/src/main/java/walkpost/proxy/Frontend.java
@@ -35,10 +35,10 @@
 final class Frontend {
     private static final int ACCEPT_QUEUE_LENGTH = 1_024;
 
-    final Log log = new Log("frontend");
-    final Proxy proxy;
-    final Sockets sockets;
-    final Buffers buffers;
+    final EventLog log = new EventLog("frontend");
+    final BalancerDriver proxy;
+    final ConnectionBudget sockets;
+    final BufferBudget buffers;
     private final BooleanSupplier upstreamReady;
     private AdmissionRules admissionRules;
     private final Set<ClientConnection> connections = new HashSet<>();
@@ -54,7 +54,7 @@
      *
      * @param upstreamReady whether the proxy has servers to send requests to
      */
-    Frontend(Proxy proxy, Sockets sockets, Buffers buffers, Balancer.Settings settings, BooleanSupplier upstreamReady) {
+    Frontend(BalancerDriver proxy, ConnectionBudget sockets, BufferBudget buffers, Balancer.Settings settings, BooleanSupplier upstreamReady) {
         this.proxy = proxy;
         this.sockets = sockets;
         this.buffers = buffers;
@@ -73,7 +73,7 @@
     }
 
     /** Applies new settings to the exchanges that begin from now on. */
-    void tune(Balancer.Settings settings) {
+    void applySettings(Balancer.Settings settings) {
         admissionRules = AdmissionRules.of(settings);
     }
 
@@ -101,7 +101,7 @@
      * @param failures counts the system calls that fail
      * @param onClosed runs after the listener was closed, once all clients that were accepted by then are registered here
      */
-    void listen(EventLoop loop, ServerSocketChannel inherited, SystemCallFailures failures, Runnable onClosed) {
+    void listen(EventLoop loop, ServerSocketChannel inherited, SystemCallFailureCounter failures, Runnable onClosed) {
         var inheritedListener = new InheritedListener(inherited, loop, failures, client -> {
             var channel = new RetryingSocketChannel(null, client, failures);
             channel.pipeline().addLast(new ClientInitializer());
@@ -113,11 +113,11 @@
 
     private void startListener(Channel channel) {
         var retrying = channel instanceof RetryingServerSocketChannel r ? r : null;
-        startListener(new Listener() {
+        startListener(new ClientListener() {
             @Override
-            public void accept(boolean on) {
+            public void setAccepting(boolean on) {
                 if (retrying != null) {
-                    retrying.accepting(on);
+                    retrying.setAccepting(on);
                 } else {
                     channel.config().setAutoRead(on);
                 }
@@ -133,10 +133,10 @@
         }
     }
 
-    private void startListener(Listener delegate) {
-        proxy.beat().start();
-        listener = new AcceptQueueMonitor(proxy.beat(), delegate);
-        sockets.listener(listener);
+    private void startListener(ClientListener delegate) {
+        proxy.loopMonitor().start();
+        listener = new AcceptQueueMonitor(proxy.loopMonitor(), delegate);
+        sockets.setListener(listener);
     }
 
     /** Sets up the channel of each accepted client. */
@@ -145,17 +145,17 @@
         protected void initChannel(Channel channel) {
             // Must precede clientOpened, which may pause the listener: clients accepted after that count as having waited.
             boolean mayHaveWaited = listener.accepted();
-            var closing = new Closing(channel, sockets);
+            var closing = new LingeringClose(channel, sockets);
             sockets.clientOpened(closing);
-            channel.config().setRecvByteBufAllocator(Headers.readingLittle());
+            channel.config().setRecvByteBufAllocator(Headers.readBufferAllocator());
             channel.config().setWriteBufferWaterMark(Headers.WATER_MARK);
             channel.pipeline().addLast(new ClientConnection(Frontend.this, closing, mayHaveWaited));
         }
     }
 
     /** Returns the monitor that tells how late the event loop may be with reading its sockets. */
-    LoopBeat lagMonitor() {
-        return proxy.beat();
+    EventLoopLagMonitor lagMonitor() {
+        return proxy.loopMonitor();
     }
 
     /** Returns the rules that are in force now. */
@@ -192,7 +192,7 @@
     }
 
     /** Returns whether this proxy is ready for clients. */
-    boolean ready() {
+    boolean isReady() {
         return listener != null && !draining && upstreamReady.getAsBoolean();
     }
 
@@ -205,27 +205,27 @@
     }
 
     /** Returns whether {@link #stopListening} was called. */
-    boolean ended() {
+    boolean isStopped() {
         return stopped;
     }
 
     /** Makes each response from now on the last on its connection. */
-    void closeAfterAnswers() {
+    void closeAfterResponses() {
         closesAfterResponses = true;
     }
 
     /** Closes the connections that carry no request. */
-    void closeIdle() {
+    void closeIdleConnections() {
         List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
     }
 
     /** Fails the requests that have no response yet, because the process is about to end. */
-    void answerNow() {
+    void failPendingRequests() {
         List.copyOf(connections).forEach(ClientConnection::failPendingExchange);
     }
 
     /** Returns whether any client is still connected, waiting for a response or with its connection being closed. */
-    boolean busy() {
+    boolean hasClients() {
         return !connections.isEmpty();
     }
 
--- a/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
@@ -28,11 +28,11 @@
     private static final long LEAVE_FLEET_MS = 300;
     private static final long IDLE_CHECK_INTERVAL_MS = 10;
 
-    private final Log log = new Log("serve");
-    private final Clock clock;
+    private final EventLog log = new EventLog("serve");
+    private final ProxyClock clock;
     private final EventLoop loop;
     private final Frontend frontend;
-    private final LoopBeat beat;
+    private final EventLoopLagMonitor beat;
     private final boolean sharedListener;
     private final String proxyName;
     private final CountDownLatch clientsGone = new CountDownLatch(1);
@@ -44,7 +44,7 @@
      * @param sharedListener whether clients come in over a listening socket that the next process holds as well
      * @param proxyName the name of the proxy in the log
      */
-    GracefulShutdown(Clock clock, EventLoop loop, Frontend frontend, LoopBeat beat, boolean sharedListener, String proxyName) {
+    GracefulShutdown(ProxyClock clock, EventLoop loop, Frontend frontend, EventLoopLagMonitor beat, boolean sharedListener, String proxyName) {
         this.clock = clock;
         this.loop = loop;
         this.frontend = frontend;
@@ -66,7 +66,7 @@
     /** Lets the process end as soon as no client is connected any more. Called on the loop. */
     void watchForLastClient() {
         loop.scheduleWithFixedDelay(() -> {
-            if (!frontend.busy()) {
+            if (!frontend.hasClients()) {
                 allClientsGone();
             }
         }, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -81,12 +81,12 @@
      */
     void run(long longestDeadlineMs, LeaveFleet leave) {
         long endMs = Math.min(longestDeadlineMs, MAX_DEADLINE_MS) + END_AFTER_DEADLINE_MS;
-        long endAtUs = clock.now() + TimeUnit.MILLISECONDS.toMicros(endMs);
+        long endAtUs = clock.nowUs() + TimeUnit.MILLISECONDS.toMicros(endMs);
         loop.execute(() -> begin(endAtUs, endMs));
         try {
             boolean allGone = clientsGone.await(endMs - LEAVE_FLEET_MS, TimeUnit.MILLISECONDS);
             leave.within(LEAVE_FLEET_MS);
-            allGone = allGone || clientsGone.await(endAtUs - clock.now(), TimeUnit.MICROSECONDS);
+            allGone = allGone || clientsGone.await(endAtUs - clock.nowUs(), TimeUnit.MICROSECONDS);
             log.info(allGone ? "drained" : "ends_with_clients", "proxy", proxyName);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -106,7 +106,7 @@
         if (sharedListener) {
             // The next process accepts the clients that wait in the queue, and those whose connection is closed here after an answer.
             frontend.stopListening();
-            frontend.closeAfterAnswers();
+            frontend.closeAfterResponses();
         } else {
             scheduleBeforeEnd(endAtUs, endMs - FRONT_LAG_MS, () -> {
                 frontend.stopListening();
@@ -115,16 +115,16 @@
         }
         // Connections close only after a further poll of the sockets, because a listener that is closed in the same turn of the loop
         // accepts its waiting clients until then.
-        scheduleBeforeEnd(endAtUs, Math.min(CLOSE_CONNECTIONS_MS, endMs - FRONT_LAG_MS), () -> beat.afterLook(() -> {
-            frontend.closeAfterAnswers();
-            frontend.closeIdle();
+        scheduleBeforeEnd(endAtUs, Math.min(CLOSE_CONNECTIONS_MS, endMs - FRONT_LAG_MS), () -> beat.runAfterIoPoll(() -> {
+            frontend.closeAfterResponses();
+            frontend.closeIdleConnections();
         }));
-        scheduleBeforeEnd(endAtUs, WRITE_ANSWERS_MS / 2, frontend::answerNow);
+        scheduleBeforeEnd(endAtUs, WRITE_ANSWERS_MS / 2, frontend::failPendingRequests);
     }
 
     /** Schedules a task on the loop for a time before the end of the process. */
     private void scheduleBeforeEnd(long endAtUs, long beforeMs, Runnable task) {
-        long delayUs = endAtUs - TimeUnit.MILLISECONDS.toMicros(beforeMs) - clock.now();
+        long delayUs = endAtUs - TimeUnit.MILLISECONDS.toMicros(beforeMs) - clock.nowUs();
         loop.schedule(task, Math.max(0, delayUs), TimeUnit.MICROSECONDS);
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Headers.java
+++ b/proxy/src/main/java/walkpost/proxy/Headers.java
@@ -40,7 +40,7 @@
     private Headers() { }
 
     /** Returns an allocator for a connection's read buffers that keeps single reads small, because there are hundreds of connections. */
-    static RecvByteBufAllocator readingLittle() {
+    static RecvByteBufAllocator readBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(64, 2_048, MAX_READ_BYTES);
     }
 
@@ -48,17 +48,17 @@
      * Appends the next bytes of a body to those collected so far, and returns the buffer that holds both. The bytes are copied, because a
      * retained slice would keep the whole buffer of its read in memory.
      */
-    static ByteBuf gather(ByteBuf body, ByteBuf next, ByteBufAllocator allocator, Buffers buffers) {
+    static ByteBuf appendBody(ByteBuf body, ByteBuf next, ByteBufAllocator allocator, BufferBudget buffers) {
         if (!next.isReadable()) {
             return body;
         }
-        buffers.hold(next.readableBytes());
+        buffers.reserve(next.readableBytes());
         ByteBuf target = body == Unpooled.EMPTY_BUFFER ? allocator.buffer(next.readableBytes()) : body;
         return target.writeBytes(next, next.readerIndex(), next.readableBytes());
     }
 
     /** Returns the last content of a message, with its end-to-end trailers. */
-    static LastHttpContent last(HttpHeaders trailers) {
+    static LastHttpContent lastContent(HttpHeaders trailers) {
         if (trailers.isEmpty()) {
             return LastHttpContent.EMPTY_LAST_CONTENT;
         }
--- a/proxy/src/main/java/walkpost/proxy/RestingConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/IdleConnections.java
@@ -15,14 +15,14 @@
  * and are closed, but prefers those that have been idle for {@link #SETTLING_US}. A connection that has unread input, or has been idle for
  * too long, is closed instead of being handed out. Used on the event loop only.
  */
-final class RestingConnections {
+final class IdleConnections {
     private record IdleConnection(Channel channel, long sinceUs) { }
 
     /** The time in which a second response that nobody has requested may still arrive on a connection. */
     private static final long SETTLING_US = 20_000;
 
     private final LongSupplier clock;
-    private final Sockets sockets;
+    private final ConnectionBudget sockets;
     /** Ordered by the start of the idle time, the longest idle first. */
     private final Deque<IdleConnection> idle = new ArrayDeque<>();
     private final ByteBuffer probeBuffer = ByteBuffer.allocateDirect(1);
@@ -32,7 +32,7 @@
      *
      * @param clock in microseconds
      */
-    RestingConnections(LongSupplier clock, Sockets sockets) {
+    IdleConnections(LongSupplier clock, ConnectionBudget sockets) {
         this.clock = clock;
         this.sockets = sockets;
     }
@@ -43,7 +43,7 @@
 
     void add(Channel channel) {
         idle.addLast(new IdleConnection(channel, clock.getAsLong()));
-        sockets.backendIdle(channel, true);
+        sockets.setServerConnectionIdle(channel, true);
     }
 
     /**
@@ -56,7 +56,7 @@
     Channel take(long maxIdleUs) {
         while (!idle.isEmpty()) {
             IdleConnection next = removeNext();
-            sockets.backendIdle(next.channel(), false);
+            sockets.setServerConnectionIdle(next.channel(), false);
             if (clock.getAsLong() - next.sinceUs() <= maxIdleUs && next.channel().isActive() && hasNoUnreadInput(next.channel())) {
                 return next.channel();
             }
@@ -107,7 +107,7 @@
     void close() {
         while (!idle.isEmpty()) {
             Channel channel = idle.removeLast().channel();
-            sockets.backendIdle(channel, false);
+            sockets.setServerConnectionIdle(channel, false);
             channel.close();
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/InheritedListener.java
+++ b/proxy/src/main/java/walkpost/proxy/InheritedListener.java
@@ -15,7 +15,7 @@
  * all of these processes share, so it is left unchanged, and a thread of its own waits in {@code accept}: on the event loop, a connection
  * that another process accepts first would block everything else. Accepted connections are handed to the event loop.
  */
-final class InheritedListener implements Listener {
+final class InheritedListener implements ClientListener {
     /** Delay before the next accept after one has failed, for instance for lack of descriptors. */
     private static final long RETRY_DELAY_MS = 20;
     /**
@@ -26,8 +26,8 @@
 
     private final ServerSocketChannel socket;
     private final EventLoop loop;
-    private final SystemCallFailures failures;
-    private final Log log = new Log("listener");
+    private final SystemCallFailureCounter failures;
+    private final EventLog log = new EventLog("listener");
     private final Consumer<SocketChannel> onAccepted;
     private final Runnable onClosed;
     private final Semaphore handOverPermits = new Semaphore(AHEAD);
@@ -41,7 +41,7 @@
      * @param onAccepted receives each connection, on the event loop
      * @param onClosed runs on the event loop after the listener was closed, once {@code onAccepted} has run for all accepted connections
      */
-    InheritedListener(ServerSocketChannel socket, EventLoop loop, SystemCallFailures failures, Consumer<SocketChannel> onAccepted,
+    InheritedListener(ServerSocketChannel socket, EventLoop loop, SystemCallFailureCounter failures, Consumer<SocketChannel> onAccepted,
             Runnable onClosed) {
         this.failures = failures;
         this.socket = socket;
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public synchronized void accept(boolean on) {
+    public synchronized void setAccepting(boolean on) {
         accepting = on;
         notifyAll();
     }
@@ -68,9 +68,9 @@
             // This closes only this process's descriptor; the shared socket stays open in the other processes.
             socket.close();
         } catch (IOException e) {
-            log.failure("socket_not_closed", e);
+            log.error("socket_not_closed", e);
         }
-        accept(true);
+        setAccepting(true);
     }
 
     private void run() {
@@ -97,7 +97,7 @@
             // The listener was closed, and the loop in run() ends.
         } catch (IOException e) {
             handOverPermits.release();
-            failures.failed("accept", e);
+            failures.record("accept", e);
             TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/Closing.java
+++ b/proxy/src/main/java/walkpost/proxy/LingeringClose.java
@@ -11,7 +11,7 @@
  * is still on its way. So this shuts down the output after all pending writes, and then reads and drops the client's input until the client
  * closes its side or {@link #LINGER_MS} have passed. Used on the event loop only.
  */
-final class Closing {
+final class LingeringClose {
     /** The client's time to close its side: a few round trips of any network. */
     private static final long LINGER_MS = 1_000;
 
@@ -25,10 +25,10 @@
     }
 
     private final Channel channel;
-    private final Sockets sockets;
+    private final ConnectionBudget sockets;
     private State state = State.OPEN;
 
-    Closing(Channel channel, Sockets sockets) {
+    LingeringClose(Channel channel, ConnectionBudget sockets) {
         this.channel = channel;
         this.sockets = sockets;
     }
@@ -38,17 +38,17 @@
     }
 
     /** Returns whether the close has started, so that no further requests are accepted and input is dropped. */
-    boolean begun() {
+    boolean isStarted() {
         return state != State.OPEN;
     }
 
     /** Starts the close: flushes the pending writes and then shuts down the output. */
-    void begin() {
+    void start() {
         if (state != State.OPEN) {
             return;
         }
         state = State.WRITING;
-        sockets.clientIdle(this, false);
+        sockets.setClientIdle(this, false);
         ChannelFuture written = channel.writeAndFlush(Unpooled.EMPTY_BUFFER);
         // Reading pauses until the writes are flushed, because a client that sends but does not read would otherwise never count as idle.
         channel.config().setAutoRead(written.isDone());
@@ -61,16 +61,16 @@
         }
         state = State.LINGERING;
         channel.config().setAutoRead(true);
-        sockets.clientLingers(this);
+        sockets.clientLingering(this);
         if (channel instanceof DuplexChannel duplex) {
             duplex.shutdownOutput();
         }
-        var lingerTimer = channel.eventLoop().schedule(this::cut, LINGER_MS, TimeUnit.MILLISECONDS);
+        var lingerTimer = channel.eventLoop().schedule(this::closeNow, LINGER_MS, TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(closed -> lingerTimer.cancel(false));
     }
 
     /** Closes the connection without waiting for the client any longer. */
-    void cut() {
+    void closeNow() {
         channel.close();
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
+++ b/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
@@ -1,6 +1,7 @@
 package walkpost.proxy;
 
 import java.util.List;
+import walkpost.DiscoveryBackOff;
 
 /**
  * Computes when the proxy calls discovery for the list of servers: how long a call may wait for news, when a call without a response is
@@ -15,7 +16,7 @@
  *
  * <p>After a call that was refused, failed or timed out, a change counts as published 6 s after discovery had it and was reachable.
  * Discovery may become reachable right after the last failing step began, so each row of this table, in seconds, must sum up to at
- * most 6 s if the list is requested from a service. The back-off is the balancer's ({@link walkpost.BackOff}), at most 2.4 s; a response
+ * most 6 s if the list is requested from a service. The back-off is the balancer's ({@link walkpost.DiscoveryBackOff}), at most 2.4 s; a response
  * takes 1.5 s if a hundred proxies call at once:
  * <pre>
  * last step before discovery became reachable       until it ends   back-off   next call     response   sum
--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -37,9 +37,9 @@
 final class OperatorEndpoint {
     /** When more callers than this are connected, the one connected longest is closed: it is most likely one that sends nothing. */
     static final int MAX_CALLERS = 16;
-    /** The longest call, with an id of {@link Exclusions#LONGEST_ID}. */
+    /** The longest call, with an id of {@link ExclusionStore#LONGEST_ID}. */
     private static final int MAX_LINE_BYTES = 200;
-    /** The longest call with, in addition, the ids of two orders of {@link FleetLink#LONGEST_ORDER} each. */
+    /** The longest call with, in addition, the ids of two orders of {@link ProxyFleetMember#LONGEST_ORDER} each. */
     private static final int MAX_FLEET_LINE_BYTES = 340;
     /** A caller must send its line within this time; the platform demands an answer or a close within 3 s of connecting. */
     private static final long LINE_TIMEOUT_MS = 2_000;
@@ -57,7 +57,7 @@
 
     /** Carries out a call. The stage completes with the line that answers it, on any thread. */
     private interface CallHandler {
-        CompletionStage<String> handle(String[] words) throws InvalidCallException, Exclusions.ExclusionRejectedException;
+        CompletionStage<String> handle(String[] words) throws InvalidCallException, ExclusionStore.ExclusionRejectedException;
     }
 
     /**
@@ -80,11 +80,11 @@
         }
     }
 
-    private final Log log = new Log("operators");
+    private final EventLog log = new EventLog("operators");
     private final BooleanSupplier ready;
-    private final Exclusions exclusions;
+    private final ExclusionStore exclusions;
     /** Null if this proxy is not a member of a fleet. */
-    private final FleetSide fleet;
+    private final FleetAccess fleet;
     /** The open connections, the oldest first. */
     private final Set<Channel> callers = new LinkedHashSet<>();
     /** All calls; created at the first call, because clients wait while the proxy starts. */
@@ -95,7 +95,7 @@
      *
      * @param fleet null if this proxy is not a member of a fleet
      */
-    OperatorEndpoint(BooleanSupplier ready, Exclusions exclusions, FleetSide fleet) {
+    OperatorEndpoint(BooleanSupplier ready, ExclusionStore exclusions, FleetAccess fleet) {
         this.ready = ready;
         this.exclusions = exclusions;
         this.fleet = fleet;
@@ -110,21 +110,21 @@
                 }),
                 new Call("include ID", MAX_LINE_BYTES, words -> completed("SUCCESS " + words[1] + (exclusions.include(words[1])
                         ? " is in use again" : " is given back here, but the fleet has it out"))),
-                new Call("fleet", MAX_LINE_BYTES, words -> fleet().fleet()),
-                new Call("orders", MAX_LINE_BYTES, words -> fleet().orders()),
-                new Call("facts TOPIC", MAX_LINE_BYTES, words -> fleet().facts(words[1])),
-                new Call("held ID ORDER", MAX_FLEET_LINE_BYTES, words -> fleet().held(words[1], words[2])),
+                new Call("fleet", MAX_LINE_BYTES, words -> fleet().describeFleet()),
+                new Call("orders", MAX_LINE_BYTES, words -> fleet().describeOrders()),
+                new Call("facts TOPIC", MAX_LINE_BYTES, words -> fleet().describeEntries(words[1])),
+                new Call("held ID ORDER", MAX_FLEET_LINE_BYTES, words -> fleet().describeOrderCoverage(words[1], words[2])),
                 new Call("exclude ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, true)),
                 new Call("include ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, false)));
     }
 
     private CompletionStage<String> order(String[] words, boolean excluded) throws InvalidCallException {
-        return fleet().order(words[1], excluded, words[3], words.length > 4 ? words[4] : null);
+        return fleet().issueOrder(words[1], excluded, words[3], words.length > 4 ? words[4] : null);
     }
 
-    private FleetSide fleet() throws InvalidCallException {
+    private FleetAccess fleet() throws InvalidCallException {
         if (fleet == null) {
-            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + Surroundings.FLEET
+            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + ProcessEnvironment.FLEET
                     + " is not set");
         }
         return fleet;
@@ -135,7 +135,7 @@
     }
 
     /** Listens for callers; returns the future of the listening channel. */
-    ChannelFuture listen(EventLoop loop, SocketAddress address, SystemCallFailures failures) {
+    ChannelFuture listen(EventLoop loop, SocketAddress address, SystemCallFailureCounter failures) {
         return new ServerBootstrap().group(loop).channelFactory(() -> new RetryingServerSocketChannel(failures))
                 // A caller that has shut down its output still reads the answer.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
@@ -167,10 +167,10 @@
                 throw new InvalidCallException("the line is too long");
             }
             return call.handler.handle(words);
-        } catch (InvalidCallException | Exclusions.ExclusionRejectedException e) {
+        } catch (InvalidCallException | ExclusionStore.ExclusionRejectedException e) {
             return completed("FAILURE " + e.getMessage());
         } catch (RuntimeException e) {
-            log.failure("call_failed", e);
+            log.error("call_failed", e);
             return completed("FAILURE " + e);
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
+++ b/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
@@ -15,11 +15,11 @@
     /** A request, and the bytes that it counts for. */
     private record QueuedExchange(ClientExchange exchange, int sizeBytes) { }
 
-    private final Buffers buffers;
+    private final BufferBudget buffers;
     private final Queue<QueuedExchange> queue = new ArrayDeque<>(0);
     private int queuedBytes;
 
-    PipelinedRequests(Buffers buffers) {
+    PipelinedRequests(BufferBudget buffers) {
         this.buffers = buffers;
     }
 
@@ -30,12 +30,12 @@
     /** Queues a request; returns false if there is no room for it. */
     boolean offer(ClientExchange next) {
         int sizeBytes = next.queuedSizeBytes();
-        if (buffers.full() || queuedBytes + sizeBytes > MAX_BYTES) {
+        if (buffers.isExhausted() || queuedBytes + sizeBytes > MAX_BYTES) {
             return false;
         }
         queue.add(new QueuedExchange(next, sizeBytes));
         queuedBytes += sizeBytes;
-        buffers.hold(sizeBytes);
+        buffers.reserve(sizeBytes);
         return true;
     }
 
@@ -67,7 +67,7 @@
 
     private ClientExchange removed(QueuedExchange queued) {
         queuedBytes -= queued.sizeBytes;
-        buffers.letGo(queued.sizeBytes);
+        buffers.release(queued.sizeBytes);
         return queued.exchange;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Surroundings.java
+++ b/proxy/src/main/java/walkpost/proxy/ProcessEnvironment.java
@@ -16,37 +16,37 @@
  * @param inheritedListener the listening socket for clients that other processes hold as well; null if the proxy opens its own
  * @param fleet opens the membership in the fleet; null if the proxy is in no fleet, and then no class of the fleet is loaded
  */
-record Surroundings(InetSocketAddress operatorAddress, Path tempDir, ServerSocketChannel inheritedListener, FleetLink.Opener fleet) {
+record ProcessEnvironment(InetSocketAddress operatorAddress, Path tempDir, ServerSocketChannel inheritedListener, ProxyFleetMember.Opener fleet) {
     /** The environment variable with the path of the fleet's configuration file. If it is unset, the proxy is in no fleet. */
     static final String FLEET = "WALKPOST_FLEET";
 
     /**
      * Reads the settings from environment variables and, where these are unset, from the configuration.
      *
-     * @throws Config.BadConfig if a variable has a value that can't be used
+     * @throws Config.InvalidConfigException if a variable has a value that can't be used
      */
-    static Surroundings of(Map<String, String> environment, Config config) throws Config.BadConfig {
+    static ProcessEnvironment of(Map<String, String> environment, Config config) throws Config.InvalidConfigException {
         String operator = environment.getOrDefault("PROXY_OPERATOR", "");
-        InetSocketAddress operatorAddress = operator.isEmpty() ? config.operator() : Config.address(operator);
+        InetSocketAddress operatorAddress = operator.isEmpty() ? config.operator() : Config.parseAddress(operator);
         if (!operator.isEmpty() && operatorAddress == null) {
-            throw new Config.BadConfig("PROXY_OPERATOR: '" + operator + "' is no address and port; expected HOST:PORT");
+            throw new Config.InvalidConfigException("PROXY_OPERATOR: '" + operator + "' is no address and port; expected HOST:PORT");
         }
         String tempDir = environment.getOrDefault("TMPDIR", "");
-        return new Surroundings(operatorAddress, Path.of(tempDir.isEmpty() ? System.getProperty("java.io.tmpdir") : tempDir),
+        return new ProcessEnvironment(operatorAddress, Path.of(tempDir.isEmpty() ? System.getProperty("java.io.tmpdir") : tempDir),
                 inheritedListener(environment.getOrDefault("PROXY_LISTEN_FD", "")), fleetOpener(environment, config));
     }
 
-    private static FleetLink.Opener fleetOpener(Map<String, String> environment, Config config) {
+    private static ProxyFleetMember.Opener fleetOpener(Map<String, String> environment, Config config) {
         String file = environment.getOrDefault(FLEET, "");
         if (file.isEmpty()) {
             return null;
         }
         var withName = new HashMap<>(environment);
         withName.putIfAbsent("PROXY_NAME", config.name());
-        return FleetLink.opener(Path.of(file), withName);
+        return ProxyFleetMember.opener(Path.of(file), withName);
     }
 
-    private static ServerSocketChannel inheritedListener(String descriptor) throws Config.BadConfig {
+    private static ServerSocketChannel inheritedListener(String descriptor) throws Config.InvalidConfigException {
         if (descriptor.isEmpty()) {
             return null;
         }
@@ -56,8 +56,8 @@
                 return socket;
             }
         } catch (IOException e) {
-            throw new Config.BadConfig("PROXY_LISTEN_FD: can't take over descriptor 0: " + e);
+            throw new Config.InvalidConfigException("PROXY_LISTEN_FD: can't take over descriptor 0: " + e);
         }
-        throw new Config.BadConfig("PROXY_LISTEN_FD: got '" + descriptor + "'; expected 0, with a listening socket as descriptor 0");
+        throw new Config.InvalidConfigException("PROXY_LISTEN_FD: got '" + descriptor + "'; expected 0, with a listening socket as descriptor 0");
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/FleetLink.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -19,8 +19,8 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import walkpost.fleet.FleetException;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.member.Member;
 import walkpost.fleet.member.Standing;
@@ -34,7 +34,7 @@
  * classes, so it is loaded only if a fleet is configured. The fleet's notifications arrive on the event loop; other methods may be called
  * on any thread.
  */
-final class FleetLink implements FleetSide, FleetListener {
+final class ProxyFleetMember implements FleetAccess, FleetListener {
     /** The topic of the orders that exclude a tile server, which is their subject. */
     static final String EXCLUSION = "exclusion";
     /** The topic of the entries with a proxy's status, whose subject is the proxy that writes them. */
@@ -55,20 +55,20 @@
         FleetHandle open() throws FleetException;
     }
 
-    private final Log log = new Log("fleet");
+    private final EventLog log = new EventLog("fleet");
     private final EventLoop loop;
-    private final Clock clock;
-    private final Exclusions exclusions;
-    private final Supplier<Condition> status;
+    private final ProxyClock clock;
+    private final ExclusionStore exclusions;
+    private final Supplier<FleetAccess.ProxyStatus> status;
     /** Why this proxy is not a member; used only while there is no handle. */
     private volatile String notMemberReason = "this proxy has not joined the fleet yet";
     private volatile FleetHandle handle;
     private Future<?> statusTimer;
     private boolean closed;
-    private Condition publishedStatus;
+    private FleetAccess.ProxyStatus publishedStatus;
     private long publishedAtUs;
 
-    private FleetLink(EventLoop loop, Clock clock, Exclusions exclusions, Supplier<Condition> status) {
+    private ProxyFleetMember(EventLoop loop, ProxyClock clock, ExclusionStore exclusions, Supplier<FleetAccess.ProxyStatus> status) {
         this.loop = loop;
         this.clock = clock;
         this.exclusions = exclusions;
@@ -85,17 +85,17 @@
      * when that one has ended, and until then applies the exclusions that it stores in the exclusions' directory.
      *
      * @param shared whether another process may serve at the same time, as during an upgrade
-     * @throws Config.BadConfig with the fleet's message, if its file is invalid or its address is in use by something else
+     * @throws Config.InvalidConfigException with the fleet's message, if its file is invalid or its address is in use by something else
      */
-    static FleetSide join(Opener opener, boolean shared, EventLoop loop, Clock clock, Exclusions exclusions,
-            Supplier<Condition> status) throws Config.BadConfig {
-        var member = new FleetLink(loop, clock, exclusions, status);
+    static FleetAccess join(Opener opener, boolean shared, EventLoop loop, ProxyClock clock, ExclusionStore exclusions,
+            Supplier<FleetAccess.ProxyStatus> status) throws Config.InvalidConfigException {
+        var member = new ProxyFleetMember(loop, clock, exclusions, status);
         loop.execute(exclusions::start);
         try {
             member.onJoined(opener.open());
         } catch (FleetException e) {
             if (!shared || e instanceof FleetException.BadFile) {
-                throw new Config.BadConfig(Surroundings.FLEET + ": " + e.getMessage());
+                throw new Config.InvalidConfigException(ProcessEnvironment.FLEET + ": " + e.getMessage());
             }
             member.joinLater(opener, e);
         }
@@ -118,7 +118,7 @@
             joinLater(opener, e);
         } catch (RuntimeException e) {
             notMemberReason = e.toString();
-            log.failure("not_joined", e);
+            log.error("not_joined", e);
         }
     }
 
@@ -152,28 +152,28 @@
     // Notifications of the fleet, on the event loop
 
     @Override
-    public void stands(Order.Key key, Acting acting) {
+    public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
         if (!key.topic().equals(EXCLUSION)) {
             return;
         }
         Boolean excluded = isExcluded(acting);
         if (excluded == null) {
             log.warn("order_not_understood", "server", key.subject(), "payload", acting.payload());
-        } else if (excluded != exclusions.standing().contains(key.subject())) {
-            exclusions.obey(key.subject(), excluded);
+        } else if (excluded != exclusions.excludedIds().contains(key.subject())) {
+            exclusions.apply(key.subject(), excluded);
         }
     }
 
     /** Once this member has caught up, includes each server that it had excluded and that no order in force excludes any more. */
     @Override
-    public void level(boolean level) {
+    public void caughtUpChanged(boolean level) {
         FleetHandle fleet = handle;
         if (level && fleet != null) {
-            Map<Order.Key, Acting> orders = fleet.orders();
-            exclusions.standing().stream().filter(id -> {
-                Acting acting = orders.get(new Order.Key(EXCLUSION, id));
+            Map<Order.Key, EffectiveOrder> orders = fleet.orders();
+            exclusions.excludedIds().stream().filter(id -> {
+                EffectiveOrder acting = orders.get(new Order.Key(EXCLUSION, id));
                 return acting == null || Boolean.FALSE.equals(isExcluded(acting));
-            }).forEach(id -> exclusions.obey(id, false));
+            }).forEach(id -> exclusions.apply(id, false));
         }
     }
 
@@ -181,13 +181,13 @@
     public void member(Member member) { }
 
     @Override
-    public void fact(Fact fact) { }
+    public void entryReceived(Entry fact) { }
 
     @Override
-    public void stale(Fact.Key key) { }
+    public void stale(Entry.Key key) { }
 
     /** Returns whether the order in force excludes its server; null if its payload is unknown to this version of the program. */
-    private static Boolean isExcluded(Acting acting) {
+    private static Boolean isExcluded(EffectiveOrder acting) {
         if (acting.payload() == null) {
             return false;
         }
@@ -200,20 +200,20 @@
     /** Publishes the proxy's status if it has changed, or if the published one has reached half of the topic's maximum age. */
     private void publishStatus() {
         FleetHandle fleet = handle;
-        Condition currentStatus = status.get();
-        if (fleet != null && (!currentStatus.equals(publishedStatus) || clock.now() - publishedAtUs >= fleet.boundUs(PROXY) / 2)) {
+        FleetAccess.ProxyStatus currentStatus = status.get();
+        if (fleet != null && (!currentStatus.equals(publishedStatus) || clock.nowUs() - publishedAtUs >= fleet.boundUs(PROXY) / 2)) {
             publishedStatus = currentStatus;
-            publishedAtUs = clock.now();
-            fleet.tell(PROXY, fleet.name(), Config.JSON.valueToTree(currentStatus).toString());
+            publishedAtUs = clock.nowUs();
+            fleet.writeEntry(PROXY, fleet.name(), Config.JSON.valueToTree(currentStatus).toString());
         }
     }
 
     // Calls of the operators
 
     @Override
-    public CompletionStage<String> fleet() {
+    public CompletionStage<String> describeFleet() {
         return answerFromReplica(fleet -> {
-            ObjectNode json = Config.JSON.createObjectNode().put("name", fleet.name()).put("level", fleet.level());
+            ObjectNode json = Config.JSON.createObjectNode().put("name", fleet.name()).put("level", fleet.isCaughtUp());
             ArrayNode members = json.putArray("members");
             fleet.members().stream().sorted(Comparator.comparing((Member member) -> member.life().name()))
                     .forEach(member -> members.addObject().put("name", member.life().name()).put("standing", member.standing().name())
@@ -231,9 +231,9 @@
     }
 
     @Override
-    public CompletionStage<String> orders() {
+    public CompletionStage<String> describeOrders() {
         return answerFromReplica(fleet -> {
-            ObjectNode json = Config.JSON.createObjectNode().put("level", fleet.level());
+            ObjectNode json = Config.JSON.createObjectNode().put("level", fleet.isCaughtUp());
             ArrayNode orders = json.putArray("orders");
             fleet.orders().forEach((key, acting) -> {
                 Order chosen = acting.chosen();
@@ -248,15 +248,15 @@
     }
 
     @Override
-    public CompletionStage<String> facts(String topic) {
-        return answerFromMembers(fleet -> fleet.facts(topic), (fleet, found) -> {
+    public CompletionStage<String> describeEntries(String topic) {
+        return answerFromMembers(fleet -> fleet.entries(topic), (fleet, found) -> {
             long boundUs = fleet.boundUs(topic);
             ObjectNode json = Config.JSON.createObjectNode().put("bound_ms", boundUs / 1_000);
             if (!fleet.voters().isEmpty()) {
                 json.set("silent", Config.JSON.valueToTree(found.silent()));
             }
             ArrayNode entries = json.putArray("facts");
-            for (Fact entry : found.facts()) {
+            for (Entry entry : found.facts()) {
                 ObjectNode entryJson = entries.addObject().put("subject", entry.key().subject()).put("writer", entry.key().writer());
                 entryJson.set("payload", parsePayload(entry.payload()));
                 entryJson.put("age_ms", entry.ageUs() / 1_000).put("stale", entry.ageUs() > boundUs);
@@ -266,7 +266,7 @@
     }
 
     @Override
-    public CompletionStage<String> held(String server, String orderId) {
+    public CompletionStage<String> describeOrderCoverage(String server, String orderId) {
         String invalid = invalidArgument(server, orderId);
         if (invalid != null) {
             return CompletableFuture.completedFuture("FAILURE " + invalid);
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public CompletionStage<String> order(String server, boolean out, String orderId, String replaces) {
+    public CompletionStage<String> issueOrder(String server, boolean out, String orderId, String replaces) {
         FleetHandle fleet = handle;
         String failure = fleet == null ? notMemberReason : invalidArgument(server, orderId);
         if (failure != null) {
@@ -300,8 +300,8 @@
 
     /** Returns why the arguments of a call are invalid, or null if they are valid. */
     private static String invalidArgument(String server, String orderId) {
-        if (lengthInBytes(server) > Exclusions.LONGEST_ID) {
-            return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + Exclusions.LONGEST_ID + " are allowed";
+        if (lengthInBytes(server) > ExclusionStore.LONGEST_ID) {
+            return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + ExclusionStore.LONGEST_ID + " are allowed";
         }
         return orderId.equals("-") || lengthInBytes(orderId) > LONGEST_ORDER
                 ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + LONGEST_ORDER + " bytes" : null;
@@ -322,7 +322,7 @@
     private String failureAnswer(Throwable error) {
         Throwable cause = error instanceof CompletionException && error.getCause() != null ? error.getCause() : error;
         if (!(cause instanceof FleetException)) {
-            log.failure("call_failed", cause);
+            log.error("call_failed", cause);
         }
         return "FAILURE " + (cause instanceof FleetException ? cause.getMessage() : cause);
     }
--- a/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
@@ -49,7 +49,7 @@
         connection.bodyBytesReceived(bytes.readableBytes());
         awaitsContinue &= !bytes.isReadable();
         if (startedExchange == null && bytes.isReadable()
-                && (body.readableBytes() + bytes.readableBytes() > Backends.MAX_BODY || frontend.buffers.full())) {
+                && (body.readableBytes() + bytes.readableBytes() > ServerConnections.MAX_BODY || frontend.buffers.isExhausted())) {
             var relay = new BodyRelay(body, this, frontend.buffers);
             body = Unpooled.EMPTY_BUFFER;
             startedExchange = new ClientExchange(frontend, connection, head, rulesAtArrival, body, relay);
@@ -58,7 +58,7 @@
         if (startedExchange != null) {
             startedExchange.relayRequestBody(bytes.retain());
         } else {
-            body = Headers.gather(body, bytes, connection.channel().alloc(), frontend.buffers);
+            body = Headers.appendBody(body, bytes, connection.channel().alloc(), frontend.buffers);
         }
         if (content instanceof LastHttpContent last && connection.isReceiving(this)) {
             connection.requestCompleted();
@@ -80,17 +80,17 @@
     }
 
     void release() {
-        frontend.buffers.letGo(body.readableBytes());
+        frontend.buffers.release(body.readableBytes());
         body.release();
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         connection.setReadPaused(!on);
     }
 
     @Override
-    public void unwanted() {
+    public void relayCancelled() {
         // Further bytes are dropped; the client learns the reason from the response to the exchange.
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/RetryingServerSocketChannel.java
+++ b/proxy/src/main/java/walkpost/proxy/RetryingServerSocketChannel.java
@@ -15,12 +15,12 @@
     /** The delay keeps the loop from spinning, because a listener whose queue can't be emptied is ready all the time. */
     static final long ACCEPT_RETRY_DELAY_MS = 10;
 
-    private final SystemCallFailures failures;
+    private final SystemCallFailureCounter failures;
     private Runnable acceptFailureTask = () -> { };
     private boolean acceptWanted = true;
     private boolean pausedAfterFailure;
 
-    RetryingServerSocketChannel(SystemCallFailures failures) {
+    RetryingServerSocketChannel(SystemCallFailureCounter failures) {
         this.failures = failures;
     }
 
@@ -30,7 +30,7 @@
     }
 
     /** Stops accepting clients for now, or resumes. */
-    void accepting(boolean on) {
+    void setAccepting(boolean on) {
         acceptWanted = on;
         config().setAutoRead(acceptWanted && !pausedAfterFailure);
     }
@@ -47,7 +47,7 @@
         } catch (ClosedChannelException e) {
             return -1;
         } catch (IOException e) {
-            failures.failed("accept", e);
+            failures.record("accept", e);
             pauseAfterFailure();
             return 0;
         }
@@ -73,10 +73,10 @@
             return;
         }
         pausedAfterFailure = true;
-        accepting(acceptWanted);
+        setAccepting(acceptWanted);
         eventLoop().schedule(() -> {
             pausedAfterFailure = false;
-            accepting(acceptWanted);
+            setAccepting(acceptWanted);
         }, ACCEPT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/RetryingSocketChannel.java
+++ b/proxy/src/main/java/walkpost/proxy/RetryingSocketChannel.java
@@ -18,17 +18,17 @@
     private static final int END_OF_STREAM = -1;
     private static final long WRITE_RETRY_DELAY_MS = 1;
 
-    private final SystemCallFailures failures;
-    private final MomentaryFailure readFailure = new MomentaryFailure();
-    private final MomentaryFailure writeFailure = new MomentaryFailure();
+    private final SystemCallFailureCounter failures;
+    private final TransientFailure readFailure = new TransientFailure();
+    private final TransientFailure writeFailure = new TransientFailure();
 
     /** Creates a channel that is not connected yet. */
-    RetryingSocketChannel(SystemCallFailures failures) {
+    RetryingSocketChannel(SystemCallFailureCounter failures) {
         this.failures = failures;
     }
 
     /** Creates the channel of an accepted connection. */
-    RetryingSocketChannel(Channel parent, SocketChannel accepted, SystemCallFailures failures) {
+    RetryingSocketChannel(Channel parent, SocketChannel accepted, SystemCallFailureCounter failures) {
         super(parent, accepted);
         this.failures = failures;
     }
@@ -39,7 +39,7 @@
         try {
             count = super.doReadBytes(into);
         } catch (IOException e) {
-            failures.failed("read", e);
+            failures.record("read", e);
             if (!readFailure.shouldRetry(e, System.nanoTime())) {
                 throw e;
             }
@@ -61,7 +61,7 @@
             super.doWrite(waiting);
             writeFailure.succeeded();
         } catch (IOException e) {
-            failures.failed("write", e);
+            failures.record("write", e);
             if (!writeFailure.shouldRetry(e, System.nanoTime())) {
                 throw e;
             }
--- a/proxy/src/main/java/walkpost/proxy/Serve.java
+++ b/proxy/src/main/java/walkpost/proxy/Serve.java
@@ -27,57 +27,57 @@
     /** The subdirectory of the writable directory that stores the exclusions ordered through the fleet. */
     private static final String EXCLUDED_BY_FLEET = "excluded-by-fleet";
     private volatile Config config;
-    private final Surroundings environment;
-    private final Log log = new Log("serve");
-    private final Clock clock;
-    private final SystemCallFailures failures = new SystemCallFailures();
-    private final LoopWakeup ioHandlers = new LoopWakeup(NioIoHandler.newFactory(), failures);
+    private final ProcessEnvironment environment;
+    private final EventLog log = new EventLog("serve");
+    private final ProxyClock clock;
+    private final SystemCallFailureCounter failures = new SystemCallFailureCounter();
+    private final FaultTolerantIoHandlerFactory ioHandlers = new FaultTolerantIoHandlerFactory(NioIoHandler.newFactory(), failures);
     private final EventLoop loop;
-    private final Proxy proxy;
-    private final Discovery discovery;
+    private final BalancerDriver proxy;
+    private final DiscoveryClient discovery;
     private final Frontend frontend;
-    private final Backends backends;
-    private final TakenOut takenOut;
-    private final Exclusions exclusions;
+    private final ServerConnections backends;
+    private final ExcludedServers takenOut;
+    private final ExclusionStore exclusions;
     private final GracefulShutdown shutdown;
     /** The proxy's membership in the fleet; null if it is in no fleet. */
-    private volatile FleetSide fleet;
+    private volatile FleetAccess fleet;
 
-    Serve(Config config, Surroundings environment) {
+    Serve(Config config, ProcessEnvironment environment) {
         this(config, environment, new Policy(config.settings()));
     }
 
-    Serve(Config config, Surroundings environment, Balancer balancer) {
-        this(config, environment, new Clock(), balancer);
+    Serve(Config config, ProcessEnvironment environment, Balancer balancer) {
+        this(config, environment, new ProxyClock(), balancer);
     }
 
-    Serve(Config config, Surroundings environment, Clock clock, Balancer balancer) {
+    Serve(Config config, ProcessEnvironment environment, ProxyClock clock, Balancer balancer) {
         this.config = config;
         this.clock = clock;
         this.environment = environment;
         if (sharesListener()) {
-            Log.keepErrorStream();
+            EventLog.reopenErrorStream();
         }
         loop = newLoop(ioHandlers);
         var settings = config.settings();
         // MOST_DESCRIPTORS is a compile-time constant, so reading it loads no class of the fleet.
-        int descriptors = config.sockets() - (environment.fleet() == null ? 0 : FleetLink.MOST_DESCRIPTORS);
-        var connections = sharesListener() ? Sockets.halfOf(descriptors) : new Sockets(descriptors);
-        var buffers = new Buffers(config.memory() / (sharesListener() ? 2 * BUFFER_MEMORY_DIVISOR : BUFFER_MEMORY_DIVISOR));
-        backends = new Backends(clock, loop, () -> new RetryingSocketChannel(failures), connections, buffers, config.connIdleUs(),
+        int descriptors = config.sockets() - (environment.fleet() == null ? 0 : ProxyFleetMember.MOST_DESCRIPTORS);
+        var connections = sharesListener() ? ConnectionBudget.forSharedLimit(descriptors) : new ConnectionBudget(descriptors);
+        var buffers = new BufferBudget(config.memory() / (sharesListener() ? 2 * BUFFER_MEMORY_DIVISOR : BUFFER_MEMORY_DIVISOR));
+        backends = new ServerConnections(clock, loop, () -> new RetryingSocketChannel(failures), connections, buffers, config.connIdleUs(),
                 config.connectTimeoutUs());
-        proxy = new Proxy(clock, loop, balancer, backends);
-        discovery = new Discovery(loop, () -> new RetryingSocketChannel(failures), proxy, config.discovery(), settings);
-        proxy.discovery(discovery);
+        proxy = new BalancerDriver(clock, loop, balancer, backends);
+        discovery = new DiscoveryClient(loop, () -> new RetryingSocketChannel(failures), proxy, config.discovery(), settings);
+        proxy.setDiscovery(discovery);
         frontend = new Frontend(proxy, connections, buffers, settings, this::canServe);
-        shutdown = new GracefulShutdown(clock, loop, frontend, proxy.beat(), sharesListener(), config.name());
-        takenOut = new TakenOut(proxy);
-        exclusions = new Exclusions(loop, takenOut, environment.tempDir().resolve(EXCLUDED), "operators");
+        shutdown = new GracefulShutdown(clock, loop, frontend, proxy.loopMonitor(), sharesListener(), config.name());
+        takenOut = new ExcludedServers(proxy);
+        exclusions = new ExclusionStore(loop, takenOut, environment.tempDir().resolve(EXCLUDED), "operators");
     }
 
-    private static EventLoop newLoop(LoopWakeup ioHandlers) {
+    private static EventLoop newLoop(FaultTolerantIoHandlerFactory ioHandlers) {
         try {
-            return new StartRetry().untilDone("event loop", () -> new MultiThreadIoEventLoopGroup(1, ioHandlers).next());
+            return new StartupRetry().callWithRetry("event loop", () -> new MultiThreadIoEventLoopGroup(1, ioHandlers).next());
         } catch (RuntimeException e) {
             throw e;
         } catch (Exception e) {
@@ -94,7 +94,7 @@
         try {
             Path configFile = configFile();
             Config config = Config.read(configFile);
-            Serve serve = new Serve(config, Surroundings.of(System.getenv(), config));
+            Serve serve = new Serve(config, ProcessEnvironment.of(System.getenv(), config));
             serve.start();
             int requests = Warmup.requestCount(config.settings(), config.cores());
             if (requests > 0) {
@@ -107,32 +107,32 @@
                 Runtime.getRuntime().halt(0);
             }, "drain"));
             serve.listen();
-        } catch (Config.BadConfig e) {
+        } catch (Config.InvalidConfigException e) {
             exit(e);
         }
     }
 
     /** Starts, warms up, listens and stops a proxy, so that the build can record the classes of a start in a class data archive. */
-    public static void rehearse() {
+    public static void trainClassDataArchive() {
         try {
             Config config = Config.read(configFile());
             // The fleet is left out, because all proxies use the archive and few are in a fleet.
             var environment = new HashMap<>(System.getenv());
-            environment.remove(Surroundings.FLEET);
-            Serve serve = new Serve(config, Surroundings.of(environment, config));
+            environment.remove(ProcessEnvironment.FLEET);
+            Serve serve = new Serve(config, ProcessEnvironment.of(environment, config));
             serve.start();
             serve.warmUp(Warmup.MAX_REQUESTS);
             serve.listen();
             serve.stop();
-        } catch (Config.BadConfig e) {
+        } catch (Config.InvalidConfigException e) {
             exit(e);
         }
     }
 
-    private static Path configFile() throws Config.BadConfig {
+    private static Path configFile() throws Config.InvalidConfigException {
         String file = System.getenv("PROXY_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new Config.BadConfig("PROXY_CONFIG is not set; set it to the path of the configuration file");
+            throw new Config.InvalidConfigException("PROXY_CONFIG is not set; set it to the path of the configuration file");
         }
         return Path.of(file);
     }
@@ -143,8 +143,8 @@
         log.info("warmed_up", "requests", answered);
     }
 
-    private static void exit(Config.BadConfig e) {
-        new Log("serve").failure("bad_configuration", e);
+    private static void exit(Config.InvalidConfigException e) {
+        new EventLog("serve").error("bad_configuration", e);
         // Halts at once, because the proxy has not accepted any client that it would have to drain.
         Runtime.getRuntime().halt(2);
     }
@@ -154,23 +154,23 @@
      *
      * @return the address of the operator endpoint, or null if there is none
      */
-    InetSocketAddress start() throws Config.BadConfig {
-        loop.execute(() -> discovery.known(config.known()));
+    InetSocketAddress start() throws Config.InvalidConfigException {
+        loop.execute(() -> discovery.start(config.known()));
         if (environment.fleet() != null) {
-            var fleetExclusions = new Exclusions(loop, takenOut, environment.tempDir().resolve(EXCLUDED_BY_FLEET), "fleet");
-            fleet = FleetLink.join(environment.fleet(), sharesListener(), loop, clock, fleetExclusions, this::condition);
+            var fleetExclusions = new ExclusionStore(loop, takenOut, environment.tempDir().resolve(EXCLUDED_BY_FLEET), "fleet");
+            fleet = ProxyFleetMember.join(environment.fleet(), sharesListener(), loop, clock, fleetExclusions, this::condition);
         }
         if (environment.operatorAddress() == null) {
             return null;
         }
         loop.execute(exclusions::start);
-        var endpoint = new OperatorEndpoint(frontend::ready, exclusions, fleet);
+        var endpoint = new OperatorEndpoint(frontend::isReady, exclusions, fleet);
         return bind("operator", () -> endpoint.listen(loop, environment.operatorAddress(), failures));
     }
 
-    private FleetSide.Condition condition() {
+    private FleetAccess.ProxyStatus condition() {
         String version = Serve.class.getPackage().getImplementationVersion();
-        return new FleetSide.Condition(frontend.ready(), proxy.open(), backends.ready(), version == null ? "unknown" : version);
+        return new FleetAccess.ProxyStatus(frontend.isReady(), proxy.openRequests(), backends.availableCount(), version == null ? "unknown" : version);
     }
 
     /** Returns whether two processes serve at once during an upgrade, over one listening socket and within the limits of one process. */
@@ -183,19 +183,19 @@
      *
      * @return the address, or null if the shutdown has already begun
      */
-    InetSocketAddress listen() throws Config.BadConfig {
+    InetSocketAddress listen() throws Config.InvalidConfigException {
         if (sharesListener()) {
-            long latestUs = clock.now() + TimeUnit.MILLISECONDS.toMicros(READY_TIMEOUT_MS);
+            long latestUs = clock.nowUs() + TimeUnit.MILLISECONDS.toMicros(READY_TIMEOUT_MS);
             loop.execute(() -> listenOnceReady(latestUs));
             try {
                 return (InetSocketAddress) environment.inheritedListener().getLocalAddress();
             } catch (IOException e) {
-                throw new Config.BadConfig("PROXY_LISTEN_FD: can't get the address of the inherited listening socket: " + e);
+                throw new Config.InvalidConfigException("PROXY_LISTEN_FD: can't get the address of the inherited listening socket: " + e);
             }
         }
         // If the process was told to end before it could listen, it accepts no client.
         InetSocketAddress address = bind("listen",
-                () -> frontend.ended() ? null : frontend.listen(loop, () -> new ClientsSocket(failures), config.listen()));
+                () -> frontend.isStopped() ? null : frontend.listen(loop, () -> new DrainingServerSocketChannel(failures), config.listen()));
         if (address == null) {
             return null;
         }
@@ -209,7 +209,7 @@
     private void listenOnceReady(long latestUs) {
         if (shutdown.hasBegun()) {
             shutdown.allClientsGone();
-        } else if (canServe() || clock.now() >= latestUs) {
+        } else if (canServe() || clock.nowUs() >= latestUs) {
             frontend.listen(loop, environment.inheritedListener(), failures, shutdown::watchForLastClient);
             log.info("listening", "proxy", config.name(), "socket", "inherited");
         } else {
@@ -218,18 +218,18 @@
     }
 
     private boolean canServe() {
-        return discovery.settled() && backends.ready() > 0;
+        return discovery.isInitialWaitOver() && backends.availableCount() > 0;
     }
 
-    private InetSocketAddress bind(String field, Callable<ChannelFuture> listen) throws Config.BadConfig {
+    private InetSocketAddress bind(String field, Callable<ChannelFuture> listen) throws Config.InvalidConfigException {
         try {
-            Channel channel = new StartRetry().untilDone(field, () -> bindOnce(listen));
+            Channel channel = new StartupRetry().callWithRetry(field, () -> bindOnce(listen));
             return channel == null ? null : (InetSocketAddress) channel.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return null;
         } catch (Exception e) {
-            throw new Config.BadConfig("'" + field + "': can't listen at this address: " + e.getMessage());
+            throw new Config.InvalidConfigException("'" + field + "': can't listen at this address: " + e.getMessage());
         }
     }
 
@@ -251,28 +251,28 @@
         try {
             Config next = Config.read(configFile);
             loop.execute(() -> apply(next));
-        } catch (Config.BadConfig e) {
+        } catch (Config.InvalidConfigException e) {
             loop.execute(() -> logRejectedConfig(e));
         }
     }
 
     private void apply(Config read) {
         try {
-            Config next = config.next(read);
+            Config next = config.checkedReplacement(read);
             config = next;
-            frontend.tune(next.settings());
-            backends.tune(next.connIdleUs(), next.connectTimeoutUs());
-            discovery.tune(next.settings());
-            proxy.retuned(next.settings());
-            discovery.moveTo(next.discovery());
+            frontend.applySettings(next.settings());
+            backends.setTimeouts(next.connIdleUs(), next.connectTimeoutUs());
+            discovery.applySettings(next.settings());
+            proxy.settingsChanged(next.settings());
+            discovery.changeAddress(next.discovery());
             log.info("configuration_taken_over", "proxy", next.name(), "discovery", next.discovery(), "classes",
                     next.settings().classes().stream().map(Balancer.RequestClass::name).toList());
-        } catch (Config.BadConfig e) {
+        } catch (Config.InvalidConfigException e) {
             logRejectedConfig(e);
         }
     }
 
-    private void logRejectedConfig(Config.BadConfig e) {
+    private void logRejectedConfig(Config.InvalidConfigException e) {
         log.warn("bad_configuration", "proxy", config.name(), "holding", "the old one", "reason", e.getMessage());
     }
 
--- a/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
@@ -23,11 +23,11 @@
  * the event loop.
  */
 final class ServerConnectionHandler extends SimpleChannelInboundHandler<HttpObject> implements BodyRelay.Source {
-    private final Backends.Endpoint endpoint;
-    private final Buffers buffers;
+    private final ServerConnections.Endpoint endpoint;
+    private final BufferBudget buffers;
     private final ServerResponseDecoder decoder = new ServerResponseDecoder(this::isResponseExpected);
     private Channel channel;
-    private Backends.Attempt attempt;
+    private ServerConnections.Attempt attempt;
     /** The head of the current response; null until it has been read. */
     private HttpResponse responseHead;
     /** The part of the body read so far, if the body is buffered and not relayed. */
@@ -45,7 +45,7 @@
     private boolean done;
     private boolean failed;
 
-    ServerConnectionHandler(Backends.Endpoint endpoint, Buffers buffers) {
+    ServerConnectionHandler(ServerConnections.Endpoint endpoint, BufferBudget buffers) {
         this.endpoint = endpoint;
         this.buffers = buffers;
     }
@@ -55,7 +55,7 @@
     }
 
     /** Assigns the attempt that the next response on this connection belongs to. */
-    void assign(Backends.Attempt next) {
+    void assign(ServerConnections.Attempt next) {
         attempt = next;
     }
 
@@ -103,7 +103,7 @@
         }
         if (!valid) {
             done = true;
-        } else if (HttpUtil.getContentLength(response, 0L) > Backends.MAX_BODY) {
+        } else if (HttpUtil.getContentLength(response, 0L) > ServerConnections.MAX_BODY) {
             startRelay();
         }
     }
@@ -118,7 +118,7 @@
         relay = new BodyRelay(bufferedBody, this, buffers);
         bufferedBody = Unpooled.EMPTY_BUFFER;
         attempt.beginStreamedResponse(
-                new Backends.Stream(responseHead.headers(), HttpUtil.getContentLength(responseHead, -1L), relay));
+                new ServerConnections.StreamedResponse(responseHead.headers(), HttpUtil.getContentLength(responseHead, -1L), relay));
     }
 
     private void onContent(HttpContent content) {
@@ -130,13 +130,13 @@
         }
         valid = content.decoderResult().isSuccess();
         int bytes = content.content().readableBytes();
-        if (valid && relay == null && bytes > 0 && (bufferedBody.readableBytes() + bytes > Backends.MAX_BODY || buffers.full())) {
+        if (valid && relay == null && bytes > 0 && (bufferedBody.readableBytes() + bytes > ServerConnections.MAX_BODY || buffers.isExhausted())) {
             startRelay();
         }
         if (valid && relay != null) {
             relay.add(content.content().retain());
         } else if (valid && !done) {
-            bufferedBody = Headers.gather(bufferedBody, content.content(), channel.alloc(), buffers);
+            bufferedBody = Headers.appendBody(bufferedBody, content.content(), channel.alloc(), buffers);
         }
         if (last && valid) {
             trailers = ((LastHttpContent) content).trailingHeaders();
@@ -158,7 +158,7 @@
         if (!done || attempt == null) {
             return;
         }
-        Backends.Attempt finishedAttempt = attempt;
+        ServerConnections.Attempt finishedAttempt = attempt;
         Outcome outcome = outcome();
         HttpHeaders headers = responseHead.headers();
         ByteBuf wholeBody = bufferedBody;
@@ -173,15 +173,15 @@
         } else {
             channel.close();
         }
-        buffers.letGo(wholeBody.readableBytes());
+        buffers.release(wholeBody.readableBytes());
         if (finishedRelay != null && finalTrailers != null) {
-            finishedRelay.end(finalTrailers);
+            finishedRelay.complete(finalTrailers);
             finishedAttempt.end(Outcome.OK, null);
         } else if (finishedRelay != null) {
-            finishedRelay.breakOff();
+            finishedRelay.abort();
             finishedAttempt.end(Outcome.RESET, null);
         } else if (outcome == Outcome.OK) {
-            finishedAttempt.end(outcome, new Backends.Answer(headers, wholeBody));
+            finishedAttempt.end(outcome, new ServerConnections.BufferedResponse(headers, wholeBody));
         } else {
             wholeBody.release();
             finishedAttempt.end(outcome, null);
@@ -214,12 +214,12 @@
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         channel.config().setAutoRead(on);
     }
 
     @Override
-    public void unwanted() {
+    public void relayCancelled() {
         if (attempt != null) {
             attempt.abort(Outcome.CANCELLED);
         }
@@ -237,13 +237,13 @@
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
         endpoint.onConnectionClosed(channel);
         deliverResponse();
-        Backends.Attempt interruptedAttempt = attempt;
+        ServerConnections.Attempt interruptedAttempt = attempt;
         BodyRelay interruptedRelay = relay;
-        buffers.letGo(bufferedBody.readableBytes());
+        buffers.release(bufferedBody.readableBytes());
         bufferedBody.release();
         reset();
         if (interruptedRelay != null) {
-            interruptedRelay.breakOff();
+            interruptedRelay.abort();
         }
         if (interruptedAttempt != null) {
             interruptedAttempt.end(interruptedAttempt.mayHaveRun() ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
--- a/proxy/src/main/java/walkpost/proxy/Backends.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnections.java
@@ -1,5 +1,5 @@
 package walkpost.proxy;
-
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer;
 import io.netty.bootstrap.Bootstrap;
@@ -39,7 +39,7 @@
  * Manages the connections to the servers and runs the attempts sent over them. A connection carries one attempt at a time. This class
  * never retries: each attempt is one that the balancer requested. Used on the event loop only.
  */
-final class Backends {
+final class ServerConnections {
     /** A body up to this size is buffered whole; a longer one is relayed. */
     static final int MAX_BODY = 64 * 1024;
 
@@ -47,39 +47,39 @@
      * A request as it is sent to a server, the same for each attempt except for the time left. The body is either complete in
      * {@code body}, or passes through {@code relay} and may still be arriving from the client.
      */
-    record Outgoing(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body, BodyRelay relay) { }
+    record OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body, BodyRelay relay) { }
 
     /** A complete 200 response of a server. The receiver must release the body. */
-    record Answer(HttpHeaders headers, ByteBuf body) { }
+    record BufferedResponse(HttpHeaders headers, ByteBuf body) { }
 
     /** An entry of discovery's list of servers, and the address at which this proxy connects to that server. */
-    record Listed(Balancer.Backend backend, SocketAddress address) { }
+    record ListedServer(Balancer.Backend backend, SocketAddress address) { }
 
     /**
      * A 200 response whose body is still arriving; {@code length} is -1 if it is unknown. The receiver must read the body to its end or
      * cancel it.
      */
-    record Stream(HttpHeaders headers, long length, BodyRelay body) { }
+    record StreamedResponse(HttpHeaders headers, long length, BodyRelay body) { }
 
     /** Is notified of the progress and the outcome of an attempt, on the event loop. */
     interface AttemptListener {
         /** The attempt has started to relay a request body that is still arriving; the server cannot respond until it is sent. */
-        void sending();
+        void onBodySendingStarted();
 
         /** The relayed request body has been sent completely. */
-        void sent();
+        void onBodySent();
 
         /** A response that is too long to be buffered has started. */
-        void streams(Stream stream);
+        void onStreamedResponse(ServerConnections.StreamedResponse stream);
 
         /** The attempt has ended; called once. {@code response} is null unless the outcome is {@link Outcome#OK} and was not streamed. */
-        void ended(Outcome outcome, long latencyUs, Answer response);
+        void onEnded(Outcome outcome, long latencyUs, ServerConnections.BufferedResponse response);
     }
 
-    private final Clock clock;
+    private final ProxyClock clock;
     private final EventLoop loop;
-    private final Sockets sockets;
-    private final Buffers buffers;
+    private final ConnectionBudget sockets;
+    private final BufferBudget buffers;
     private final Bootstrap bootstrap;
     private long idleUs;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
@@ -87,20 +87,20 @@
     private final Set<String> listedIds = new HashSet<>();
     private final Set<String> excludedIds = new HashSet<>();
 
-    Backends(Clock clock, EventLoop loop, ChannelFactory<? extends Channel> transport, Sockets sockets, Buffers buffers,
+    ServerConnections(ProxyClock clock, EventLoop loop, ChannelFactory<? extends Channel> transport, ConnectionBudget sockets, BufferBudget buffers,
             long connIdleUs, long connectTimeoutUs) {
         this.clock = clock;
         this.loop = loop;
         this.sockets = sockets;
         this.buffers = buffers;
         this.bootstrap = new Bootstrap().group(loop).channelFactory(transport)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, Headers.readingLittle())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, Headers.readBufferAllocator())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Headers.WATER_MARK);
-        tune(connIdleUs, connectTimeoutUs);
+        setTimeouts(connIdleUs, connectTimeoutUs);
     }
 
     /** Sets the time-outs of connections. If the idle time-out gets shorter, closes all idle connections: they may exceed it. */
-    void tune(long connIdleUs, long connectTimeoutUs) {
+    void setTimeouts(long connIdleUs, long connectTimeoutUs) {
         int connectMs = (int) Math.max(1, connectTimeoutUs / 1_000);
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs);
         endpoints.values().forEach(endpoint -> endpoint.pool.setConnectTimeoutMs(connectMs));
@@ -113,7 +113,7 @@
     }
 
     /** Returns the number of servers that new attempts may be sent to. */
-    int ready() {
+    int availableCount() {
         return (int) endpoints.values().stream().filter(Endpoint::acceptsAttempts).count();
     }
 
@@ -122,13 +122,13 @@
      *
      * @return the attempts that the caller must abort: their server accepts nothing new, and none of their bytes has been sent
      */
-    List<Attempt> update(Balancer.ListKind kind, List<Listed> listed) {
+    List<Attempt> applyList(Balancer.ListKind kind, List<ServerConnections.ListedServer> listed) {
         var unsent = new ArrayList<Attempt>();
         if (kind != Balancer.ListKind.DELTA) {
             listedIds.clear();
         }
-        for (Listed entry : listed) {
-            if (entry.backend().state() == Balancer.State.GONE) {
+        for (ServerConnections.ListedServer entry : listed) {
+            if (entry.backend().state() == BackendState.GONE) {
                 listedIds.remove(entry.backend().id());
             } else {
                 listedIds.add(entry.backend().id());
@@ -144,7 +144,7 @@
                 endpoints.put(entry.backend().id(), endpoint);
             }
             endpoint.setStartTime(entry.backend().startedAtUs());
-            endpoint.ready = entry.backend().state() == Balancer.State.READY;
+            endpoint.ready = entry.backend().state() == BackendState.READY;
         }
         if (kind != Balancer.ListKind.DELTA) {
             endpoints.forEach((id, endpoint) -> endpoint.ready &= listedIds.contains(id));
@@ -159,7 +159,7 @@
     }
 
     /** Returns whether a server is on the list or is excluded by the operators. */
-    boolean knows(String id) {
+    boolean isKnown(String id) {
         return listedIds.contains(id) || excludedIds.contains(id);
     }
 
@@ -175,7 +175,7 @@
     }
 
     /** Closes the idle connections to a server. */
-    void release(String id) {
+    void closeIdle(String id) {
         Endpoint endpoint = endpoints.get(id);
         if (endpoint != null) {
             endpoint.pool.closeIdle();
@@ -191,10 +191,10 @@
      * @return null if the server is unknown or accepts no new attempts, if no socket is left, or if the relayed request body can
      *         no longer be sent from its start
      */
-    Attempt attempt(String id, Outgoing outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
+    Attempt newAttempt(String id, ServerConnections.OutgoingRequest outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
         Endpoint endpoint = endpoints.get(id);
-        if (endpoint == null || !endpoint.acceptsAttempts() || !endpoint.pool.hasIdle() && !sockets.roomForBackend()
-                || outgoing.relay() != null && !outgoing.relay().fresh()) {
+        if (endpoint == null || !endpoint.acceptsAttempts() || !endpoint.pool.hasIdle() && !sockets.makeRoomForServerConnection()
+                || outgoing.relay() != null && !outgoing.relay().isReplayable()) {
             return null;
         }
         return new Attempt(endpoint, outgoing, timeoutUs, sendByUs, listener);
@@ -213,11 +213,11 @@
             this.id = id;
             this.address = address;
             this.pool = new ConnectionPool(bootstrap.clone().remoteAddress(address), this::setUpConnection,
-                    new RestingConnections(clock::now, sockets), () -> idleUs);
+                    new IdleConnections(clock::nowUs, sockets), () -> idleUs);
         }
 
         private void setUpConnection(Channel channel) {
-            sockets.backendOpened(channel);
+            sockets.serverConnectionOpened(channel);
             if (channel.config() instanceof DuplexChannelConfig config) {
                 // Only with half-closure can the end of the server's output be told apart from a close by this side.
                 config.setAllowHalfClosure(true);
@@ -267,7 +267,7 @@
     /** One attempt to have a request served, from acquiring a connection to its outcome. */
     final class Attempt implements BodyRelay.Sink {
         private final Endpoint endpoint;
-        private final Outgoing outgoing;
+        private final ServerConnections.OutgoingRequest outgoing;
         private final long timeoutUs;
         private final long sendByUs;
         private final AttemptListener listener;
@@ -283,7 +283,7 @@
         private ChannelPromise lastWrite;
         private boolean ended;
 
-        private Attempt(Endpoint endpoint, Outgoing outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
+        private Attempt(Endpoint endpoint, ServerConnections.OutgoingRequest outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
             this.endpoint = endpoint;
             this.outgoing = outgoing;
             this.timeoutUs = timeoutUs;
@@ -292,7 +292,7 @@
         }
 
         void start() {
-            startedAtUs = clock.now();
+            startedAtUs = clock.nowUs();
             endpoint.activeAttempts.add(this);
             startTimeout();
             Promise<Channel> promise = loop.newPromise();
@@ -311,7 +311,7 @@
             if (!acquired.isSuccess()) {
                 // A ChannelException means that this machine could not create a socket, which says nothing about the server.
                 end(acquired.cause() instanceof ChannelException ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED, null);
-            } else if (ended || !endpoint.acceptsAttempts() || clock.now() > sendByUs) {
+            } else if (ended || !endpoint.acceptsAttempts() || clock.nowUs() > sendByUs) {
                 // The connection was established too late for this attempt, but another attempt may use it.
                 endpoint.returnToPool(acquired.getNow());
                 end(Outcome.NOT_SENT, null);
@@ -361,7 +361,7 @@
 
         private void copyHeaders(HttpRequest request) {
             Headers.copyEndToEnd(outgoing.headers(), request.headers());
-            request.headers().set(Headers.TIMEOUT, Math.max(1, startedAtUs + timeoutUs - clock.now()) + "u");
+            request.headers().set(Headers.TIMEOUT, Math.max(1, startedAtUs + timeoutUs - clock.nowUs()) + "u");
         }
 
         private void onLastWritten(Future<?> write) {
@@ -370,7 +370,7 @@
             } else if (relayingBody && !ended) {
                 relayingBody = false;
                 startTimeout();
-                listener.sent();
+                listener.onBodySent();
             }
         }
 
@@ -390,8 +390,8 @@
             channel.write(request);
             timer.cancel(false);
             relayingBody = true;
-            listener.sending();
-            outgoing.relay().to(this);
+            listener.onBodySendingStarted();
+            outgoing.relay().relayTo(this);
         }
 
         @Override
@@ -400,12 +400,12 @@
         }
 
         @Override
-        public void end(HttpHeaders trailers) {
-            writeLast(Headers.last(trailers));
+        public void bodyCompleted(HttpHeaders trailers) {
+            writeLast(Headers.lastContent(trailers));
         }
 
         @Override
-        public void broken() {
+        public void bodyAborted() {
             // The client broke off its body, so the server has not received a complete request.
             abort(Outcome.NOT_SENT);
         }
@@ -418,15 +418,15 @@
         /** Continues a relayed request body after the connection's writability has changed. */
         void resumeSending() {
             if (relayingBody) {
-                outgoing.relay().flow();
+                outgoing.relay().transfer();
             }
         }
 
         /** Reports a response that is relayed: its latency is measured now, and no time-out runs from here on. */
-        void beginStreamedResponse(Stream response) {
+        void beginStreamedResponse(ServerConnections.StreamedResponse response) {
             timer.cancel(false);
-            responseStartedAtUs = clock.now();
-            listener.streams(response);
+            responseStartedAtUs = clock.nowUs();
+            listener.onStreamedResponse(response);
         }
 
         /** Ends the attempt from this side. Its connection is closed first, so that no other attempt is sent while this one is open. */
@@ -444,7 +444,7 @@
         }
 
         /** Ends the attempt with the outcome seen on its connection. */
-        void end(Outcome outcome, Answer response) {
+        void end(Outcome outcome, ServerConnections.BufferedResponse response) {
             if (!ended) {
                 ended = true;
                 report(outcome, response);
@@ -453,14 +453,14 @@
             }
         }
 
-        private void report(Outcome outcome, Answer response) {
+        private void report(Outcome outcome, ServerConnections.BufferedResponse response) {
             timer.cancel(false);
             endpoint.activeAttempts.remove(this);
             if (relayingBody) {
                 relayingBody = false;
-                outgoing.relay().detach();
+                outgoing.relay().detachSink();
             }
-            listener.ended(outcome, (responseStartedAtUs > 0 ? responseStartedAtUs : clock.now()) - startedAtUs, response);
+            listener.onEnded(outcome, (responseStartedAtUs > 0 ? responseStartedAtUs : clock.nowUs()) - startedAtUs, response);
         }
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/StartRetry.java
+++ b/proxy/src/main/java/walkpost/proxy/StartupRetry.java
@@ -9,7 +9,7 @@
  * Retries a step of the start that failed because of a transient error, such as a lack of descriptors or memory. An error in the
  * configuration is thrown at once. Used by one thread at a time.
  */
-final class StartRetry {
+final class StartupRetry {
     /** How long to retry. A process must be ready within 30 s, and nine in ten within 6 s. */
     static final long TIMEOUT_MS = 3_000;
     private static final long RETRY_DELAY_MS = 20;
@@ -20,7 +20,7 @@
     private static final List<String> CONFIGURATION_ERRORS = List.of("cannot assign requested address", "permission denied",
             "no such file", "accessdenied", "nosuchfile");
 
-    private final Log log = new Log("serve");
+    private final EventLog log = new EventLog("serve");
     private final long latestNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
 
     /**
@@ -29,7 +29,7 @@
      * @param step the name of the step in the log
      * @throws Exception the last failure, if the configuration is wrong or the time for retries is over
      */
-    <T> T untilDone(String step, Callable<T> action) throws Exception {
+    <T> T callWithRetry(String step, Callable<T> action) throws Exception {
         while (true) {
             try {
                 return action.call();
--- a/proxy/src/main/java/walkpost/proxy/SystemCallFailures.java
+++ b/proxy/src/main/java/walkpost/proxy/SystemCallFailureCounter.java
@@ -11,7 +11,7 @@
  * Counts failed system calls by call and error. It logs the first failure of each kind and then each kind at most once per interval, so
  * that a burst of failures does not flood the log. Thread-safe.
  */
-final class SystemCallFailures {
+final class SystemCallFailureCounter {
     /** How often a kind of failure is logged at most. */
     static final long LOG_INTERVAL_NS = TimeUnit.SECONDS.toNanos(1);
     /** How many kinds are counted separately; the rest are counted as one. The bound is needed because messages may contain addresses. */
@@ -42,26 +42,26 @@
         void report(String call, String error, long total, long sinceLast);
     }
 
-    private static final Log LOG = new Log("system_calls");
+    private static final EventLog LOG = new EventLog("system_calls");
 
     private final LongSupplier nanoTime;
     private final Reporter reporter;
     private final Map<Kind, Count> counts = new HashMap<>();
 
     /** Creates a counter that reports to the log. */
-    SystemCallFailures() {
+    SystemCallFailureCounter() {
         this(System::nanoTime, (call, error, total, sinceLast) ->
                 LOG.warn("system_call_failed", "call", call, "error", error, "total", total, "since_last_line", sinceLast));
     }
 
     /** Creates a counter with another clock, in nanoseconds, and another reporter. */
-    SystemCallFailures(LongSupplier nanoTime, Reporter reporter) {
+    SystemCallFailureCounter(LongSupplier nanoTime, Reporter reporter) {
         this.nanoTime = nanoTime;
         this.reporter = reporter;
     }
 
     /** Counts a failed call, and reports it if its kind has not been reported within the interval. */
-    synchronized void failed(String call, IOException cause) {
+    synchronized void record(String call, IOException cause) {
         var kind = new Kind(call, String.valueOf(cause.getMessage()));
         if (!counts.containsKey(kind) && counts.size() >= MAX_KINDS) {
             kind = new Kind(call, "other");
--- a/proxy/src/main/java/walkpost/proxy/MomentaryFailure.java
+++ b/proxy/src/main/java/walkpost/proxy/TransientFailure.java
@@ -9,7 +9,7 @@
  * some errors of a socket only once (ENOBUFS, ENOMEM, EHOSTUNREACH, ETIMEDOUT), and the next call shows whether the connection still
  * works. A reset or a broken pipe is permanent. Does no I/O and reads no clock; not thread-safe.
  */
-final class MomentaryFailure {
+final class TransientFailure {
     /**
      * How long calls may go on failing before the failure counts as permanent. The deadline that the proxy passes on allows 150 ms between
      * reading and writing a request.
--- a/proxy/src/main/java/walkpost/proxy/Warmup.java
+++ b/proxy/src/main/java/walkpost/proxy/Warmup.java
@@ -1,6 +1,7 @@
 package walkpost.proxy;
 
 import walkpost.Balancer;
+import walkpost.Balancer.BackendState;
 import walkpost.Policy;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -65,7 +66,7 @@
     /** One of this many requests is answered with an error. */
     private static final int REQUESTS_PER_ERROR = 16;
     private static final int BODY_BYTES = 1_024;
-    private static final Log LOG = new Log("warmup");
+    private static final EventLog LOG = new EventLog("warmup");
 
     private final Balancer.Settings settings;
     private final int requests;
@@ -147,7 +148,7 @@
     }
 
     private void start(Path socketDir, int clients) {
-        var listed = new ArrayList<Backends.Listed>();
+        var listed = new ArrayList<ServerConnections.ListedServer>();
         for (int i = 0; i < SERVERS; i++) {
             SocketAddress address = UnixDomainSocketAddress.of(socketDir.resolve("backend" + i));
             new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
@@ -155,21 +156,21 @@
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(new HttpServerCodec(),
-                                    new HttpObjectAggregator(Backends.MAX_BODY), new SyntheticServer());
+                                    new HttpObjectAggregator(ServerConnections.MAX_BODY), new SyntheticServer());
                         }
                     }).bind(address).syncUninterruptibly();
-            listed.add(new Backends.Listed(new Balancer.Backend("warmup" + i, Balancer.State.READY, "warmup",
+            listed.add(new ServerConnections.ListedServer(new Balancer.Backend("warmup" + i, BackendState.READY, "warmup",
                     settings.zone(), 0, 0, 1), address));
         }
-        var clock = new Clock();
-        var connections = new Sockets(DESCRIPTOR_LIMIT);
-        var buffers = new Buffers(Long.MAX_VALUE);
+        var clock = new ProxyClock();
+        var connections = new ConnectionBudget(DESCRIPTOR_LIMIT);
+        var buffers = new BufferBudget(Long.MAX_VALUE);
         var settingsWithoutDiscovery = settingsWithoutDiscovery();
-        var backends = new Backends(clock, loop, NioDomainSocketChannel::new, connections, buffers,
+        var backends = new ServerConnections(clock, loop, NioDomainSocketChannel::new, connections, buffers,
                 TimeUnit.MILLISECONDS.toMicros(TIMEOUT_MS), TimeUnit.MILLISECONDS.toMicros(TIMEOUT_MS));
-        var proxy = new Proxy(clock, loop, new Policy(settingsWithoutDiscovery), backends);
-        var frontend = new Frontend(proxy, connections, buffers, settingsWithoutDiscovery, () -> backends.ready() > 0);
-        loop.submit(() -> proxy.members(Balancer.ListKind.FULL, listed)).syncUninterruptibly();
+        var proxy = new BalancerDriver(clock, loop, new Policy(settingsWithoutDiscovery), backends);
+        var frontend = new Frontend(proxy, connections, buffers, settingsWithoutDiscovery, () -> backends.availableCount() > 0);
+        loop.submit(() -> proxy.updateServerList(Balancer.ListKind.FULL, listed)).syncUninterruptibly();
         frontend.listen(loop, NioServerDomainSocketChannel::new, proxyAddress).syncUninterruptibly();
         for (int i = 0; i < clients; i++) {
             connect();
@@ -188,7 +189,7 @@
         new Bootstrap().group(loop).channel(NioDomainSocketChannel.class).handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Backends.MAX_BODY),
+                channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(ServerConnections.MAX_BODY),
                         new SyntheticClient());
             }
         }).connect(proxyAddress);
--- a/proxy/src/main/java/walkpost/wire/Codec.java
+++ b/proxy/src/main/java/walkpost/wire/Codec.java
@@ -1,6 +1,7 @@
 package walkpost.wire;
 
 import walkpost.Balancer;
+import walkpost.Balancer.BackendState;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeSet;
@@ -16,10 +17,10 @@
             "dropped", Balancer.Outcome.RESET,
             "revoked", Balancer.Outcome.CANCELLED,
             "unused", Balancer.Outcome.NOT_SENT);
-    private static final Map<String, Balancer.State> STATES = Map.of(
-            "IN", Balancer.State.READY,
-            "LAME", Balancer.State.DRAINING,
-            "OUT", Balancer.State.GONE);
+    private static final Map<String, BackendState> STATES = Map.of(
+            "IN", BackendState.READY,
+            "LAME", BackendState.DRAINING,
+            "OUT", BackendState.GONE);
     private static final Map<String, Balancer.ListKind> LISTS = Map.of(
             "patch", Balancer.ListKind.DELTA,
             "whole", Balancer.ListKind.FULL,
@@ -52,7 +53,7 @@
             case "hangup":
                 return new Balancer.ClientGone(line.text("op_id"));
             case "flowing":
-                return new Balancer.StreamStarted(line.text("op_id"), line.nonNegativeInt("go"));
+                return new Balancer.ResponseStreamStarted(line.text("op_id"), line.nonNegativeInt("go"));
             case "probed":
                 return new Balancer.ProbeEnded(line.text("backend"), word(line, "how", OUTCOMES),
                         line.wholeNumber("cost_time_us"));
--- a/proxy/src/main/java/walkpost/wire/InstanceHost.java
+++ b/proxy/src/main/java/walkpost/wire/InstanceHost.java
@@ -121,7 +121,7 @@
         }
     }
 
-    private Balancer.Members readListUpdate() throws IOException {
+    private Balancer.ListUpdate readListUpdate() throws IOException {
         Balancer.ListKind kind = Codec.listKind(wireLine);
         int count = wireLine.optional("nodes_list") == null ? 0 : wireLine.nonNegativeInt("nodes_list");
         List<Balancer.Backend> backends = new ArrayList<>(Math.min(count, 1024));
@@ -133,7 +133,7 @@
                 throw new WireException("entry: " + e.getMessage());
             }
         }
-        return new Balancer.Members(kind, backends);
+        return new Balancer.ListUpdate(kind, backends);
     }
 
     /** Writes that an instance has thrown an exception, and where. */
--- a/proxy/src/main/java/walkpost/wire/SettingsReader.java
+++ b/proxy/src/main/java/walkpost/wire/SettingsReader.java
@@ -42,7 +42,7 @@
      *
      * @throws IllegalArgumentException if the setting is missing or not a whole number; the message names it
      */
-    public static long whole(Map<String, String> values, String path) {
+    public static long wholeNumber(Map<String, String> values, String path) {
         return new SettingsReader(values).wholeNumber(path);
     }
 
--- a/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
+++ b/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
@@ -12,9 +12,9 @@
     void growsUpToTheLongestAndHasJitter(long askWithinUs) {
         long previousMost = 0;
         for (int failed = 1; failed < 100; failed++) {
-            long least = BackOff.us(askWithinUs, failed, 0);
-            long most = BackOff.us(askWithinUs, failed, 1);
-            assertThat(most).isBetween(previousMost, BackOff.LONGEST_US);
+            long least = DiscoveryBackOff.delayUs(askWithinUs, failed, 0);
+            long most = DiscoveryBackOff.delayUs(askWithinUs, failed, 1);
+            assertThat(most).isBetween(previousMost, DiscoveryBackOff.LONGEST_US);
             assertThat(least).isLessThanOrEqualTo(most / 2);
             previousMost = most;
         }
@@ -22,9 +22,9 @@
 
     @Test
     void followsTheSettingsBelowTheLongest() {
-        assertThat(BackOff.us(3_200_000, 1, 0)).isEqualTo(50_000);
-        assertThat(BackOff.us(3_200_000, 1, 1)).isEqualTo(150_000);
-        assertThat(BackOff.us(3_200_000, 4, 0.5)).isEqualTo(800_000);
-        assertThat(BackOff.us(3_200_000, 9, 0.5)).isEqualTo(800_000);
+        assertThat(DiscoveryBackOff.delayUs(3_200_000, 1, 0)).isEqualTo(50_000);
+        assertThat(DiscoveryBackOff.delayUs(3_200_000, 1, 1)).isEqualTo(150_000);
+        assertThat(DiscoveryBackOff.delayUs(3_200_000, 4, 0.5)).isEqualTo(800_000);
+        assertThat(DiscoveryBackOff.delayUs(3_200_000, 9, 0.5)).isEqualTo(800_000);
     }
 }
--- a/proxy/src/test/java/walkpost/EmbeddingTest.java
+++ b/proxy/src/test/java/walkpost/EmbeddingTest.java
@@ -18,8 +18,8 @@
     void readmeExampleRuns() {
         var actions = new ArrayList<Balancer.Action>();
         var policy = new Policy(new Balancer.Settings(3, 0, "zone-a", 1_000, List.of(READ), List.of(), 1, false, LIMITS, RULES, 42));
-        var backend = new Balancer.Backend("10.0.0.1:80", Balancer.State.READY, "std", "zone-a", 0, 0, 1);
-        policy.handle(1_000, new Balancer.Members(Balancer.ListKind.FULL, List.of(backend)), actions::add);
+        var backend = new Balancer.Backend("10.0.0.1:80", Balancer.BackendState.READY, "std", "zone-a", 0, 0, 1);
+        policy.handle(1_000, new Balancer.ListUpdate(Balancer.ListKind.FULL, List.of(backend)), actions::add);
         policy.handle(2_000, new Balancer.Arrival("r1", "read", null, null, 2_000_000, false, 0), actions::add);
         assertThat(actions).containsExactly(new Balancer.Send("r1", "10.0.0.1:80", 1_200_000));
         policy.handle(20_500, new Balancer.AttemptEnded("r1", 0, "10.0.0.1:80", Balancer.Outcome.OK, 18_500, true),
--- a/proxy/src/test/java/walkpost/ExclusionTest.java
+++ b/proxy/src/test/java/walkpost/ExclusionTest.java
@@ -10,10 +10,8 @@
 import walkpost.Balancer.Excluded;
 import walkpost.Balancer.Included;
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Members;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Release;
-import walkpost.Balancer.State;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -40,8 +38,8 @@
         assertThat(serve(10)).containsOnly("b");
         proxy.fullList(backend("a"), backend("b"));
         assertThat(serve(10)).containsOnly("b");
-        proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.inState(State.DRAINING, "a"))));
-        proxy.feed(new Members(ListKind.DELTA, List.of(started("a", proxy.now))));
+        proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"))));
+        proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(started("a", proxy.now))));
         assertThat(serve(10)).containsOnly("b");
     }
 
--- a/proxy/src/test/java/walkpost/OverloadTest.java
+++ b/proxy/src/test/java/walkpost/OverloadTest.java
@@ -339,7 +339,7 @@
                 harness.advance(170 * MS);
             }
             long from = harness.now;
-            harness.feed(new Balancer.Members(Balancer.ListKind.DELTA, List.of(PolicyHarness.started("new", from))));
+            harness.feed(new Balancer.ListUpdate(Balancer.ListKind.DELTA, List.of(PolicyHarness.started("new", from))));
             for (int i = 0; i < 25; i++) {
                 got += harness.serve(READ, 30 * MS).equals("new") ? 1 : 0;
                 harness.advance(170 * MS);
--- a/proxy/src/test/java/walkpost/PolicyHarness.java
+++ b/proxy/src/test/java/walkpost/PolicyHarness.java
@@ -8,7 +8,6 @@
 import walkpost.Balancer.Event;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Members;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.RequestClass;
 import walkpost.Balancer.Rules;
@@ -16,7 +15,6 @@
 import walkpost.Balancer.Send;
 import walkpost.Balancer.SetTimer;
 import walkpost.Balancer.Settings;
-import walkpost.Balancer.State;
 import walkpost.Balancer.Tenant;
 import walkpost.Balancer.TimerFired;
 import java.util.ArrayList;
@@ -71,7 +69,7 @@
     }
 
     static Backend backend(String id, String kind, String zone, int cell) {
-        return new Backend(id, State.READY, kind, zone, cell, 0, 1);
+        return new Backend(id, Balancer.BackendState.READY, kind, zone, cell, 0, 1);
     }
 
     static Backend backend(String id) {
@@ -79,10 +77,10 @@
     }
 
     static Backend started(String id, long at) {
-        return new Backend(id, State.READY, "std", "a", 1, at, 1);
+        return new Backend(id, Balancer.BackendState.READY, "std", "a", 1, at, 1);
     }
 
-    static Backend inState(State state, String id) {
+    static Backend inState(Balancer.BackendState state, String id) {
         return new Backend(id, state, "std", "a", 1, 0, 1);
     }
 
@@ -99,7 +97,7 @@
     }
 
     void fullList(Backend... backends) {
-        feed(new Members(ListKind.FULL, List.of(backends)));
+        feed(new Balancer.ListUpdate(ListKind.FULL, List.of(backends)));
     }
 
     /** Lets a request arrive and returns its id. */
--- a/proxy/src/test/java/walkpost/PolicyScalingTest.java
+++ b/proxy/src/test/java/walkpost/PolicyScalingTest.java
@@ -5,7 +5,6 @@
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Backend;
 import walkpost.Balancer.Outcome;
-import walkpost.Balancer.Retuned;
 import walkpost.Balancer.Settings;
 import walkpost.Balancer.Tenant;
 import com.sun.management.ThreadMXBean;
@@ -176,7 +175,7 @@
 
     private static long reloadBytes(int tenants) {
         PolicyHarness proxy = proxy(10, tenants);
-        var next = new Retuned(settings(tenants));
+        var next = new Balancer.SettingsChanged(settings(tenants));
         proxy.feed(next);
         return allocatedBytes(() -> proxy.feed(next));
     }
--- a/proxy/src/test/java/walkpost/RulesTest.java
+++ b/proxy/src/test/java/walkpost/RulesTest.java
@@ -18,15 +18,12 @@
 import walkpost.Balancer.Fail;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Members;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Refuse;
 import walkpost.Balancer.Release;
 import walkpost.Balancer.Rules;
 import walkpost.Balancer.Send;
 import walkpost.Balancer.SetTimer;
-import walkpost.Balancer.State;
-import walkpost.Balancer.StreamStarted;
 import walkpost.Balancer.Watch;
 import java.util.List;
 import org.junit.jupiter.api.Nested;
@@ -95,7 +92,7 @@
             proxy.fullList(backend("a"));
             assertThat(proxy.feed(new ClientGone("nobody"))).isEmpty();
             assertThat(proxy.feed(new Balancer.AttemptEnded("nobody", 0, "a", Outcome.OK, MS, true))).isEmpty();
-            assertThat(proxy.feed(new StreamStarted("nobody", 0))).isEmpty();
+            assertThat(proxy.feed(new Balancer.ResponseStreamStarted("nobody", 0))).isEmpty();
             assertThat(proxy.feed(new Balancer.ProbeEnded("gone", Outcome.OK, MS))).isEmpty();
         }
 
@@ -103,7 +100,7 @@
         void brokenResponseStreamHasNoFurtherAnswer() {
             proxy.fullList(backend("a"), backend("b"));
             String id = proxy.arrive(READ);
-            proxy.feed(new StreamStarted(id, 0));
+            proxy.feed(new Balancer.ResponseStreamStarted(id, 0));
             assertThat(proxy.feed(new Balancer.AttemptEnded(id, 0, "a", Outcome.RESET, 3 * S, true))).isEmpty();
         }
     }
@@ -259,7 +256,7 @@
         void idleConnectionsAreReleasedAtTheDrainAndAgainAfterTheLastAttempt() {
             proxy.fullList(backend("a"));
             String id = proxy.arrive(VOTE);
-            assertThat(proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.inState(State.DRAINING, "a")))))
+            assertThat(proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a")))))
                     .containsExactly(new Release("a"));
             assertThat(proxy.endAttempt(id, Outcome.OK, MS)).containsExactly(new Release("a"));
         }
@@ -270,7 +267,7 @@
             String id = proxy.arrive(READ);
             String to = proxy.lastSend(id).backend();
             proxy.feed(new ClientGone(id));
-            proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.inState(State.DRAINING, to))));
+            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, to))));
             assertThat(proxy.endAttempt(id, Outcome.CANCELLED, MS)).containsExactly(new Release(to));
         }
 
@@ -288,8 +285,8 @@
         @Test
         void drainingOrGoneBackendGetsNoRequests() {
             proxy.fullList(backend("a"), backend("b"), backend("c"));
-            proxy.feed(new Members(ListKind.DELTA,
-                    List.of(PolicyHarness.inState(State.DRAINING, "a"), PolicyHarness.inState(State.GONE, "b"))));
+            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA,
+                    List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"), PolicyHarness.inState(Balancer.BackendState.GONE, "b"))));
             for (int i = 0; i < 10; i++) {
                 assertThat(proxy.serve(READ, MS)).isEqualTo("c");
             }
@@ -307,22 +304,22 @@
         @Test
         void nothingIsSentIfAllBackendsDrain() {
             proxy.fullList(backend("a"));
-            proxy.fullList(PolicyHarness.inState(State.DRAINING, "a"));
+            proxy.fullList(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"));
             String id = proxy.arrive(READ);
             assertThat(proxy.sendCount(id)).isZero();
         }
 
         @Test
         void drainedBackendMayComeBack() {
-            proxy.fullList(PolicyHarness.inState(State.DRAINING, "a"));
-            proxy.feed(new Members(ListKind.DELTA, List.of(backend("a"))));
+            proxy.fullList(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"));
+            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(backend("a"))));
             assertThat(proxy.serve(READ, MS)).isEqualTo("a");
         }
 
         @Test
         void backendThatDrainsAndComesBackInOneUpdateIsUsedOnce() {
             proxy.fullList(backend("a"), backend("b"));
-            proxy.feed(new Members(ListKind.DELTA, List.of(PolicyHarness.inState(State.DRAINING, "a"), backend("a"))));
+            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"), backend("a"))));
             int toA = 0;
             for (int i = 0; i < 12; i++) {
                 toA += proxy.serve(READ, MS).equals("a") ? 1 : 0;
@@ -333,8 +330,8 @@
         @Test
         void listOnRequestIsRequestedAtOnceAndAgainAfterAFailure() {
             var harness = new PolicyHarness(PolicyHarness.settings(new Limits(true, false, false, true, 4, 0), RULES));
-            assertThat(harness.feed(new Members(ListKind.CACHED, List.of(backend("a"))))).contains(new Watch(true));
-            List<Action> after = harness.feed(new Members(ListKind.FAILED, List.of()));
+            assertThat(harness.feed(new Balancer.ListUpdate(ListKind.CACHED, List.of(backend("a"))))).contains(new Watch(true));
+            List<Action> after = harness.feed(new Balancer.ListUpdate(ListKind.FAILED, List.of()));
             SetTimer timer = (SetTimer) after.get(0);
             assertThat(timer.atUs()).isBetween(harness.now + 1, harness.now + RULES.askWithinUs());
             assertThat(harness.serve(READ, MS)).as("the previous list stays in use").isEqualTo("a");
@@ -347,8 +344,8 @@
             var harness = new PolicyHarness(PolicyHarness.settings(new Limits(true, false, false, true, 4, 0), RULES));
             var other = new PolicyHarness(new Balancer.Settings(1, 0, "a", MS, List.of(READ), List.of(), 1, false,
                     new Limits(true, false, false, true, 4, 0), RULES, 8));
-            assertThat(harness.feed(new Members(ListKind.FAILED, List.of())))
-                    .doesNotContainAnyElementsOf(other.feed(new Members(ListKind.FAILED, List.of())).stream()
+            assertThat(harness.feed(new Balancer.ListUpdate(ListKind.FAILED, List.of())))
+                    .doesNotContainAnyElementsOf(other.feed(new Balancer.ListUpdate(ListKind.FAILED, List.of())).stream()
                             .filter(a -> a instanceof SetTimer t && t.atUs() != other.now + RULES.askWithinUs()).toList());
         }
     }
--- a/proxy/src/test/java/walkpost/ServerSelectionTest.java
+++ b/proxy/src/test/java/walkpost/ServerSelectionTest.java
@@ -9,7 +9,6 @@
 
 import walkpost.Balancer.Backend;
 import walkpost.Balancer.Outcome;
-import walkpost.Balancer.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -22,7 +21,7 @@
 
     @Test
     void ordersTwoBackendsAsInThePaper() {
-        proxy.fullList(new Backend("d1", State.READY, "one", "a", 1, 0, 1), new Backend("d2", State.READY, "two", "a", 1, 0, 2));
+        proxy.fullList(new Backend("d1", Balancer.BackendState.READY, "one", "a", 1, 0, 1), new Backend("d2", Balancer.BackendState.READY, "two", "a", 1, 0, 2));
         var order = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
             String id = proxy.arrive(READ);
--- a/proxy/src/test/java/walkpost/SlowStartFleetTest.java
+++ b/proxy/src/test/java/walkpost/SlowStartFleetTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Members;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Rules;
 import walkpost.Balancer.Send;
@@ -69,7 +68,7 @@
     private void sendList(List<Balancer.Backend> backends) {
         for (PolicyHarness proxy : fleet) {
             proxy.now = now;
-            proxy.feed(new Members(ListKind.FULL, backends));
+            proxy.feed(new Balancer.ListUpdate(ListKind.FULL, backends));
         }
     }
 
--- a/proxy/src/test/java/walkpost/proxy/AcceptFailureTest.java
+++ b/proxy/src/test/java/walkpost/proxy/AcceptFailureTest.java
@@ -40,7 +40,7 @@
 
     private final class FailingListener extends RetryingServerSocketChannel {
         FailingListener() {
-            super(new SystemCallFailures());
+            super(new SystemCallFailureCounter());
         }
 
         @Override
@@ -55,9 +55,9 @@
         }
     }
 
-    private final class FailingClientsSocket extends ClientsSocket {
+    private final class FailingClientsSocket extends DrainingServerSocketChannel {
         FailingClientsSocket() {
-            super(new SystemCallFailures());
+            super(new SystemCallFailureCounter());
         }
 
         @Override
@@ -108,12 +108,12 @@
     void staysPausedAfterAFailureIfAcceptingWasStopped() throws Exception {
         failures.set(1);
         var listener = (RetryingServerSocketChannel) listen(FailingListener::new);
-        listener.onAcceptFailure(() -> listener.accepting(false));
+        listener.onAcceptFailure(() -> listener.setAccepting(false));
         InetSocketAddress address = listener.localAddress();
         try (var client = new Socket(address.getAddress(), address.getPort())) {
             assertThat(events.poll(10, TimeUnit.SECONDS)).isEqualTo("late");
             assertThat(listener.config().isAutoRead()).isFalse();
-            loop.submit(() -> listener.accepting(true)).sync();
+            loop.submit(() -> listener.setAccepting(true)).sync();
             assertThat(events.poll(10, TimeUnit.SECONDS)).isEqualTo("accepted");
             assertThat(client.isConnected()).isTrue();
         }
--- a/proxy/src/test/java/walkpost/proxy/AcceptQueueMonitorTest.java
+++ b/proxy/src/test/java/walkpost/proxy/AcceptQueueMonitorTest.java
@@ -13,10 +13,10 @@
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final List<Boolean> acceptingCalls = new ArrayList<>();
     private long nowNs;
-    private final LoopBeat lagMonitor = new LoopBeat(new Clock(() -> nowNs), loop.eventLoop());
-    private final AcceptQueueMonitor acceptQueue = new AcceptQueueMonitor(lagMonitor, new Listener() {
+    private final EventLoopLagMonitor lagMonitor = new EventLoopLagMonitor(new ProxyClock(() -> nowNs), loop.eventLoop());
+    private final AcceptQueueMonitor acceptQueue = new AcceptQueueMonitor(lagMonitor, new ClientListener() {
         @Override
-        public void accept(boolean on) {
+        public void setAccepting(boolean on) {
             acceptingCalls.add(on);
         }
 
@@ -54,9 +54,9 @@
     @Test
     void afterAPauseClientsHaveWaitedUntilTheQueueIsEmpty() {
         assertThat(acceptQueue.accepted()).isFalse();
-        acceptQueue.accept(false);
+        acceptQueue.setAccepting(false);
         runTurns(1, false);
-        acceptQueue.accept(true);
+        acceptQueue.setAccepting(true);
         assertThat(acceptingCalls).containsExactly(false, true);
         assertThat(runTurns(1, true)).isTrue();
         assertThat(runTurns(40, true)).isTrue();
--- a/proxy/src/test/java/walkpost/proxy/AttemptsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/AttemptsTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.ListKind;
 import walkpost.Balancer.Outcome;
-import walkpost.Balancer.State;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
@@ -28,62 +28,62 @@
 /** Checks attempts on an event loop of their own, without a proxy. */
 class AttemptsTest {
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final Clock clock = new Clock();
+    private final ProxyClock clock = new ProxyClock();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    private Peer peer;
-    private Backends backends;
+    private FakeServer peer;
+    private ServerConnections backends;
 
     /** Records the outcomes. */
-    private final class OutcomeRecorder implements Backends.AttemptListener {
+    private final class OutcomeRecorder implements ServerConnections.AttemptListener {
         @Override
-        public void sending() { }
+        public void onBodySendingStarted() { }
 
         @Override
-        public void sent() { }
+        public void onBodySent() { }
 
         @Override
-        public void streams(Backends.Stream stream) { }
+        public void onStreamedResponse(ServerConnections.StreamedResponse stream) { }
 
         @Override
-        public void ended(Outcome outcome, long latencyUs, Backends.Answer response) {
+        public void onEnded(Outcome outcome, long latencyUs, ServerConnections.BufferedResponse response) {
             outcomes.add(outcome);
         }
     }
 
     @BeforeEach
     void setUp() throws Exception {
-        peer = new Peer();
-        backends = new Backends(clock, loop, NioSocketChannel::new, new Sockets(1_024), new Buffers(1 << 20), 15_000_000,
+        peer = new FakeServer();
+        backends = new ServerConnections(clock, loop, NioSocketChannel::new, new ConnectionBudget(1_024), new BufferBudget(1 << 20), 15_000_000,
                 1_000_000);
-        loop.submit(() -> listServer(State.READY)).get();
+        loop.submit(() -> listServer(Balancer.BackendState.READY)).get();
     }
 
     @AfterEach
     void tearDown() throws Exception {
-        loop.submit(() -> backends.release("s0")).get();
+        loop.submit(() -> backends.closeIdle("s0")).get();
         loop.shutdownGracefully();
         peer.close();
     }
 
-    private List<Backends.Attempt> listServer(State state) {
-        return backends.update(ListKind.FULL, List.of(listedServer("s0", state, peer.port())));
+    private List<ServerConnections.Attempt> listServer(Balancer.BackendState state) {
+        return backends.applyList(ListKind.FULL, List.of(listedServer("s0", state, peer.port())));
     }
 
-    private static Backends.Listed listedServer(String id, State state, int port) {
-        return new Backends.Listed(new Balancer.Backend(id, state, "m", "a", 1, 7, 1), new InetSocketAddress("127.0.0.1", port));
+    private static ServerConnections.ListedServer listedServer(String id, Balancer.BackendState state, int port) {
+        return new ServerConnections.ListedServer(new Balancer.Backend(id, state, "m", "a", 1, 7, 1), new InetSocketAddress("127.0.0.1", port));
     }
 
-    private static Backends.Outgoing get(String id) {
-        return new Backends.Outgoing(HttpMethod.GET, "/api", new DefaultHttpHeaders().set("X-Request-ID", id),
+    private static ServerConnections.OutgoingRequest get(String id) {
+        return new ServerConnections.OutgoingRequest(HttpMethod.GET, "/api", new DefaultHttpHeaders().set("X-Request-ID", id),
                 Unpooled.EMPTY_BUFFER, null);
     }
 
-    private Backends.Attempt start(String id, long sendByUs) {
+    private ServerConnections.Attempt start(String id, long sendByUs) {
         return start("s0", id, sendByUs);
     }
 
-    private Backends.Attempt start(String server, String id, long sendByUs) {
-        Backends.Attempt attempt = backends.attempt(server, get(id), 5_000_000, sendByUs, new OutcomeRecorder());
+    private ServerConnections.Attempt start(String server, String id, long sendByUs) {
+        ServerConnections.Attempt attempt = backends.newAttempt(server, get(id), 5_000_000, sendByUs, new OutcomeRecorder());
         attempt.start();
         return attempt;
     }
@@ -91,23 +91,23 @@
     /** The connection is established after the latest time at which its first byte may be written. */
     @Test
     void sendsNothingAfterItsLatestSendTimeButPoolsTheConnection() throws Exception {
-        loop.submit(() -> start("r1", clock.now() - 1)).get();
-        assertThat(Peer.next(outcomes)).isEqualTo(Outcome.NOT_SENT);
-        Wire onlyConnection = peer.accept();
-        loop.submit(() -> start("r2", clock.now() + 5_000_000)).get();
+        loop.submit(() -> start("r1", clock.nowUs() - 1)).get();
+        assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.NOT_SENT);
+        RawConnection onlyConnection = peer.accept();
+        loop.submit(() -> start("r2", clock.nowUs() + 5_000_000)).get();
         assertThat(onlyConnection.read().header("X-Request-ID")).isEqualTo("r2");
-        onlyConnection.send(Peer.ok("x"));
-        assertThat(Peer.next(outcomes)).isEqualTo(Outcome.OK);
+        onlyConnection.send(FakeServer.okResponse("x"));
+        assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.OK);
     }
 
     @Test
     void reportsNotSentIfThisMachineCannotCreateASocket() throws Exception {
-        var withoutSockets = new Backends(clock, loop, () -> {
+        var withoutSockets = new ServerConnections(clock, loop, () -> {
             throw new ChannelException("Too many open files");
-        }, new Sockets(1_024), new Buffers(1 << 20), 15_000_000, 1_000_000);
-        loop.submit(() -> withoutSockets.update(ListKind.FULL, List.of(listedServer("s0", State.READY, peer.port())))).get();
-        loop.submit(() -> withoutSockets.attempt("s0", get("r1"), 5_000_000, Long.MAX_VALUE, new OutcomeRecorder()).start()).get();
-        assertThat(Peer.next(outcomes)).isEqualTo(Outcome.NOT_SENT);
+        }, new ConnectionBudget(1_024), new BufferBudget(1 << 20), 15_000_000, 1_000_000);
+        loop.submit(() -> withoutSockets.applyList(ListKind.FULL, List.of(listedServer("s0", Balancer.BackendState.READY, peer.port())))).get();
+        loop.submit(() -> withoutSockets.newAttempt("s0", get("r1"), 5_000_000, Long.MAX_VALUE, new OutcomeRecorder()).start()).get();
+        assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.NOT_SENT);
     }
 
     /** Netty delays the listeners of a completed write if listener calls are nested too deep, so the write must be checked itself. */
@@ -115,17 +115,17 @@
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8})
     void doesNotReportAWrittenRequestAsUnsent(int depth) throws Exception {
         loop.submit(() -> start("r1", Long.MAX_VALUE)).get();
-        Wire wire = peer.accept();
+        RawConnection wire = peer.accept();
         wire.read();
-        wire.send(Peer.ok("x"));
-        assertThat(Peer.next(outcomes)).isEqualTo(Outcome.OK);
-        var unsent = new ArrayList<Backends.Attempt>();
+        wire.send(FakeServer.okResponse("x"));
+        assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.OK);
+        var unsent = new ArrayList<ServerConnections.Attempt>();
         loop.submit(() -> nest(depth, () -> {
             start("r2", Long.MAX_VALUE);
-            unsent.addAll(listServer(State.DRAINING));
+            unsent.addAll(listServer(Balancer.BackendState.DRAINING));
             unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
         })).get();
-        Wire.Message received = wire.read();
+        RawConnection.Message received = wire.read();
         assertThat(received == null).isEqualTo(!unsent.isEmpty());
     }
 
@@ -134,20 +134,20 @@
     @ValueSource(strings = {"cancelled", "drained", "moved", "gone", "out and back"})
     void writesNothingOnAConnectionEstablishedTooLate(String meanwhile) throws Exception {
         loop.submit(() -> {
-            Backends.Attempt attempt = start("r1", Long.MAX_VALUE);
+            ServerConnections.Attempt attempt = start("r1", Long.MAX_VALUE);
             // Netty connects in a task of its own, which runs before this one.
             loop.execute(() -> stop(attempt, meanwhile));
         }).get();
-        assertThat(Peer.next(outcomes)).isEqualTo(Outcome.NOT_SENT);
-        assertThat(peer.accept().ended()).isTrue();
+        assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.NOT_SENT);
+        assertThat(peer.accept().awaitClose()).isTrue();
     }
 
-    private void stop(Backends.Attempt attempt, String cause) {
-        List<Backends.Attempt> unsent = switch (cause) {
+    private void stop(ServerConnections.Attempt attempt, String cause) {
+        List<ServerConnections.Attempt> unsent = switch (cause) {
             case "cancelled" -> List.of(attempt);
-            case "drained" -> listServer(State.DRAINING);
-            case "moved" -> backends.update(ListKind.DELTA, List.of(listedServer("s0", State.READY, 1)));
-            case "gone" -> backends.update(ListKind.FULL, List.of());
+            case "drained" -> listServer(Balancer.BackendState.DRAINING);
+            case "moved" -> backends.applyList(ListKind.DELTA, List.of(listedServer("s0", Balancer.BackendState.READY, 1)));
+            case "gone" -> backends.applyList(ListKind.FULL, List.of());
             default -> backends.exclude("s0");
         };
         backends.include("s0");
@@ -156,17 +156,17 @@
 
     @Test
     void doesNotShareConnectionsBetweenServersAtOneAddress() throws Exception {
-        loop.submit(() -> backends.update(ListKind.DELTA, List.of(listedServer("s1", State.READY, peer.port())))).get();
-        var wires = new ArrayList<Wire>();
+        loop.submit(() -> backends.applyList(ListKind.DELTA, List.of(listedServer("s1", Balancer.BackendState.READY, peer.port())))).get();
+        var wires = new ArrayList<RawConnection>();
         for (String server : List.of("s0", "s1")) {
             loop.submit(() -> start(server, "r1", Long.MAX_VALUE)).get();
             wires.add(peer.accept());
             wires.get(wires.size() - 1).read();
-            wires.get(wires.size() - 1).send(Peer.ok("x"));
-            assertThat(Peer.next(outcomes)).isEqualTo(Outcome.OK);
+            wires.get(wires.size() - 1).send(FakeServer.okResponse("x"));
+            assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.OK);
         }
-        loop.submit(() -> backends.update(ListKind.DELTA, List.of(listedServer("s0", State.DRAINING, peer.port())))).get();
-        assertThat(wires.get(0).ended()).isTrue();
+        loop.submit(() -> backends.applyList(ListKind.DELTA, List.of(listedServer("s0", Balancer.BackendState.DRAINING, peer.port())))).get();
+        assertThat(wires.get(0).awaitClose()).isTrue();
         loop.submit(() -> start("s1", "r2", Long.MAX_VALUE)).get();
         assertThat(wires.get(1).read().header("X-Request-ID")).isEqualTo("r2");
     }
--- a/proxy/src/test/java/walkpost/proxy/ProxyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/BalancerDriverTest.java
@@ -19,54 +19,54 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests how balancer and sockets are connected, also for a balancer that misbehaves. */
-class ProxyTest {
+class BalancerDriverTest {
     /** Guards against a balancer that never answers a request: the proxy then fails the request before its client gives up. */
     @Test
     void answersInTimeIfTheBalancerNeverAnswers() throws Exception {
-        try (var proxy = new Fixture((event, actions) -> { }); var client = proxy.client()) {
+        try (var proxy = new ProxyFixture((event, actions) -> { }); var client = proxy.client()) {
             long sent = System.nanoTime();
-            Wire.Message answer = client.send(Fixture.get("r1").replace("1900m", "300000u")).read();
+            RawConnection.Message answer = client.send(ProxyFixture.get("r1").replace("1900m", "300000u")).read();
             assertThat(answer.status()).isEqualTo(502);
             assertThat(System.nanoTime() - sent).isGreaterThan(200_000_000L);
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r1");
+            assertThat(proxy.nextEvent(ClientGone.class).id()).isEqualTo("r1");
         }
     }
 
     @Test
     void anExceptionInTheBalancerFailsOnlyItsRequest() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("bad")) {
                 throw new IllegalStateException("thrown by the test");
             }
-            Fixture.sendTo("s0").handle(event, actions);
+            ProxyFixture.sendTo("s0").handle(event, actions);
         }, server); var client = proxy.client()) {
-            server.always(Peer.ok("x"));
-            assertThat(client.send(Fixture.get("bad")).read().status()).isEqualTo(502);
-            assertThat(client.send(Fixture.get("good")).read().status()).isEqualTo(200);
+            server.answerAll(FakeServer.okResponse("x"));
+            assertThat(client.send(ProxyFixture.get("bad")).read().status()).isEqualTo(502);
+            assertThat(client.send(ProxyFixture.get("good")).read().status()).isEqualTo(200);
         }
     }
 
     @Test
     void sendsTheRemainingTimeAsTheTimeoutOfAFurtherAttempt() throws Exception {
-        var started = new CompletableFuture<Fixture>();
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        var started = new CompletableFuture<ProxyFixture>();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded a && a.attempt() == 0) {
-                started.join().skip(Duration.ofMillis(500));
+                started.join().advanceClock(Duration.ofMillis(500));
                 actions.accept(new Send(a.id(), "s0", 0));
             }
         }, server); var client = proxy.client()) {
             started.complete(proxy);
-            client.send(Fixture.get("r1"));
-            Wire first = server.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = server.accept();
             assertThat(timeoutUs(first.read())).isLessThanOrEqualTo(1_900_000);
             first.close();
             assertThat(timeoutUs(server.accept().read())).isBetween(1L, 1_400_000L);
         }
     }
 
-    private static long timeoutUs(Wire.Message attempt) {
+    private static long timeoutUs(RawConnection.Message attempt) {
         return Long.parseLong(attempt.header("X-Timeout").replace("u", ""));
     }
 
@@ -76,44 +76,44 @@
      */
     @Test
     void sendsNoSecondCopyOfARequest() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
                 actions.accept(new Send(a.id(), "s0", 0));
                 actions.accept(new Send(a.id(), "unknown", 0));
             }
         }, server); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire first = server.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = server.accept();
             first.read();
             for (int number = 1; number <= 2; number++) {
-                AttemptEnded end = proxy.next(AttemptEnded.class);
+                AttemptEnded end = proxy.nextEvent(AttemptEnded.class);
                 assertThat(end.attempt()).isEqualTo(number);
                 assertThat(end.outcome()).isEqualTo(Outcome.NOT_SENT);
                 assertThat(end.last()).isFalse();
             }
-            first.send(Peer.ok("x"));
+            first.send(FakeServer.okResponse("x"));
             assertThat(client.read().status()).isEqualTo(200);
-            assertThat(proxy.next(AttemptEnded.class).last()).isTrue();
+            assertThat(proxy.nextEvent(AttemptEnded.class).last()).isTrue();
         }
     }
 
     @Test
     void cancelsAnAttemptIfTheBalancerOrdersIt() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof ClientGone g) {
                 actions.accept(new Cancel(g.id(), 0));
             }
-            Fixture.sendTo("s0").handle(event, actions);
+            ProxyFixture.sendTo("s0").handle(event, actions);
         }, server)) {
-            Wire attempt;
+            RawConnection attempt;
             try (var client = proxy.client()) {
-                client.send(Fixture.get("r1"));
+                client.send(ProxyFixture.get("r1"));
                 attempt = server.accept();
                 attempt.read();
             }
-            assertThat(attempt.ended()).isTrue();
-            AttemptEnded end = proxy.next(AttemptEnded.class);
+            assertThat(attempt.awaitClose()).isTrue();
+            AttemptEnded end = proxy.nextEvent(AttemptEnded.class);
             assertThat(end.outcome()).isEqualTo(Outcome.CANCELLED);
             assertThat(end.last()).isTrue();
         }
@@ -122,13 +122,13 @@
     @Test
     void firesTheTimersOfTheBalancer() throws Exception {
         var set = new boolean[1];
-        try (var proxy = new Fixture((event, actions) -> {
+        try (var proxy = new ProxyFixture((event, actions) -> {
             if (!set[0]) {
                 set[0] = true;
                 actions.accept(new SetTimer(0, "due"));
             }
         })) {
-            assertThat(proxy.next(TimerFired.class).token()).isEqualTo("due");
+            assertThat(proxy.nextEvent(TimerFired.class).token()).isEqualTo("due");
         }
     }
 
@@ -154,12 +154,12 @@
      * @param attempts the number of attempts that begin before that event
      */
     private static void clientDisconnectsDuring(Predicate<Event> isMoment, int attempts) throws Exception {
-        var started = new CompletableFuture<Fixture>();
-        var leavingClient = new CompletableFuture<Wire>();
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        var started = new CompletableFuture<ProxyFixture>();
+        var leavingClient = new CompletableFuture<RawConnection>();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (isMoment.test(event)) {
                 close(leavingClient.join());
-                started.join().skip(Duration.ofMillis(100));
+                started.join().advanceClock(Duration.ofMillis(100));
             }
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
@@ -169,20 +169,20 @@
         }, server); var client = proxy.client()) {
             started.complete(proxy);
             leavingClient.complete(client);
-            client.send(Fixture.get("gone"));
+            client.send(ProxyFixture.get("gone"));
             for (int i = 0; i < attempts; i++) {
-                try (Wire attempt = server.accept()) {
+                try (RawConnection attempt = server.accept()) {
                     assertThat(attempt.read().header("X-Request-ID")).isEqualTo("gone");
                 }
             }
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("gone");
-            AttemptEnded end = proxy.next(AttemptEnded.class);
+            assertThat(proxy.nextEvent(ClientGone.class).id()).isEqualTo("gone");
+            AttemptEnded end = proxy.nextEvent(AttemptEnded.class);
             assertThat(end.outcome()).isEqualTo(Outcome.NOT_SENT);
             assertThat(end.last()).isTrue();
         }
     }
 
-    private static void close(Wire wire) {
+    private static void close(RawConnection wire) {
         try {
             wire.close();
         } catch (IOException e) {
--- a/proxy/src/test/java/walkpost/proxy/BodyRelayTest.java
+++ b/proxy/src/test/java/walkpost/proxy/BodyRelayTest.java
@@ -15,7 +15,7 @@
 class BodyRelayTest {
     private static final int PIECE_BYTES = 10_000;
 
-    private final Buffers buffers = new Buffers(1_000_000);
+    private final BufferBudget buffers = new BufferBudget(1_000_000);
     private final List<ByteBuf> createdPieces = new ArrayList<>();
     private final Source source = new Source();
     private final Sink sink = new Sink();
@@ -25,12 +25,12 @@
         private int cancellations;
 
         @Override
-        public void reading(boolean on) {
+        public void setReading(boolean on) {
             reading = on;
         }
 
         @Override
-        public void unwanted() {
+        public void relayCancelled() {
             cancellations++;
         }
     }
@@ -48,12 +48,12 @@
         }
 
         @Override
-        public boolean ready() {
+        public boolean isWritable() {
             return roomBytes > 0;
         }
 
         @Override
-        public void data(ByteBuf data) {
+        public void writeData(ByteBuf data) {
             roomBytes -= data.readableBytes();
             receivedBytes += data.readableBytes();
             data.release();
@@ -63,12 +63,12 @@
         public void flush() { }
 
         @Override
-        public void end(HttpHeaders trailers) {
+        public void bodyCompleted(HttpHeaders trailers) {
             completions++;
         }
 
         @Override
-        public void broken() {
+        public void bodyAborted() {
             aborts++;
         }
     }
@@ -80,19 +80,19 @@
     }
 
     private BodyRelay newRelay() {
-        buffers.hold(PIECE_BYTES);
+        buffers.reserve(PIECE_BYTES);
         return new BodyRelay(piece(), source, buffers);
     }
 
     private void assertNothingIsBuffered() {
-        assertThat(buffers.held()).isZero();
+        assertThat(buffers.reservedBytes()).isZero();
         assertThat(createdPieces).allMatch(piece -> piece.refCnt() == 0);
     }
 
     @Test
     void pausesTheSourceWhileTheSinkIsFull() {
         BodyRelay relay = newRelay();
-        relay.to(sink);
+        relay.relayTo(sink);
         int pieces = 0;
         while (source.reading) {
             relay.add(piece());
@@ -100,9 +100,9 @@
         }
         assertThat(pieces * PIECE_BYTES).isBetween(32 * 1024, 64 * 1024);
         sink.roomBytes = Integer.MAX_VALUE;
-        relay.flow();
+        relay.transfer();
         assertThat(source.reading).isTrue();
-        relay.end(EmptyHttpHeaders.INSTANCE);
+        relay.complete(EmptyHttpHeaders.INSTANCE);
         assertThat(sink.receivedBytes).isEqualTo((pieces + 1) * PIECE_BYTES);
         assertThat(sink.completions).isOne();
         assertNothingIsBuffered();
@@ -112,14 +112,14 @@
     @Test
     void pausesTheSourceWhileTheBufferBudgetIsExhausted() {
         BodyRelay relay = newRelay();
-        relay.to(sink);
+        relay.relayTo(sink);
         relay.add(piece());
         assertThat(source.reading).isTrue();
-        buffers.hold(1_000_000);
+        buffers.reserve(1_000_000);
         relay.add(piece());
         assertThat(source.reading).isFalse();
         relay.cancel();
-        buffers.letGo(1_000_000);
+        buffers.release(1_000_000);
         assertNothingIsBuffered();
     }
 
@@ -127,14 +127,14 @@
     void startsOverWithAnotherSinkIfNoBytesAreLost() {
         BodyRelay relay = newRelay();
         sink.roomBytes = 1;
-        relay.to(sink);
+        relay.relayTo(sink);
         relay.add(piece());
-        relay.detach();
-        assertThat(relay.fresh()).isTrue();
+        relay.detachSink();
+        assertThat(relay.isReplayable()).isTrue();
         var other = new Sink();
         other.roomBytes = Integer.MAX_VALUE;
-        relay.to(other);
-        relay.end(EmptyHttpHeaders.INSTANCE);
+        relay.relayTo(other);
+        relay.complete(EmptyHttpHeaders.INSTANCE);
         assertThat(other.receivedBytes).isEqualTo(2 * PIECE_BYTES);
         assertThat(other.completions).isOne();
         assertThat(sink.completions + sink.aborts).isZero();
@@ -145,10 +145,10 @@
     void isCancelledIfTheSinkIsDetachedAfterItConsumedBytes() {
         BodyRelay relay = newRelay();
         sink.roomBytes = Integer.MAX_VALUE;
-        relay.to(sink);
+        relay.relayTo(sink);
         relay.add(piece());
-        relay.detach();
-        assertThat(relay.fresh()).isFalse();
+        relay.detachSink();
+        assertThat(relay.isReplayable()).isFalse();
         assertThat(source.cancellations).isOne();
         relay.add(piece());
         assertNothingIsBuffered();
@@ -157,10 +157,10 @@
     @Test
     void notifiesTheSinkOnceOfAnAbort() {
         BodyRelay relay = newRelay();
-        relay.to(sink);
+        relay.relayTo(sink);
         relay.add(piece());
-        relay.breakOff();
-        relay.breakOff();
+        relay.abort();
+        relay.abort();
         relay.cancel();
         assertThat(sink.aborts).isOne();
         assertThat(source.cancellations).isZero();
--- a/proxy/src/test/java/walkpost/proxy/ConfigTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ConfigTest.java
@@ -16,7 +16,7 @@
 class ConfigTest {
     @Test
     void readsAllSettings() throws Exception {
-        Config config = Config.parse(Fixture.config());
+        Config config = Config.parse(ProxyFixture.config());
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
         assertThat(config.settings().limits().listMustBeAsked()).isTrue();
         assertThat(config.settings().classes()).extracting(Balancer.RequestClass::effect)
@@ -35,16 +35,16 @@
         "limits|''|'limits.sockets': '' is not an integer of at least 128",
         "settings|'x'|'settings': missing or not a JSON object"})
     void rejectsAnInvalidFieldByName(String field, String value, String message) throws Exception {
-        assertThatThrownBy(() -> Config.parse(Fixture.config().put(field, value)))
-                .isInstanceOf(Config.BadConfig.class).hasMessage(message);
+        assertThatThrownBy(() -> Config.parse(ProxyFixture.config().put(field, value)))
+                .isInstanceOf(Config.InvalidConfigException.class).hasMessage(message);
     }
 
     @Test
     void rejectsAMissingOrUnknownSettingByName() throws Exception {
-        ObjectNode missing = Fixture.config();
+        ObjectNode missing = ProxyFixture.config();
         ((ObjectNode) missing.path("settings").path("bounds")).remove("conn_idle_us");
         assertThatThrownBy(() -> Config.parse(missing)).hasMessage("'settings': missing setting 'bounds.conn_idle_us'");
-        ObjectNode wrong = Fixture.config();
+        ObjectNode wrong = ProxyFixture.config();
         ((ObjectNode) wrong.path("settings").path("profiles").get(1)).put("effect", "sometimes");
         assertThatThrownBy(() -> Config.parse(wrong))
                 .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect'");
@@ -53,10 +53,10 @@
     @Test
     void rejectsAnUnreadableOrMalformedFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
-        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.BadConfig.class)
+        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.InvalidConfigException.class)
                 .hasMessageStartingWith("the configuration file cannot be read: ");
         Files.writeString(file, "{");
-        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.BadConfig.class)
+        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(Config.InvalidConfigException.class)
                 .hasMessageStartingWith("the configuration file is not valid JSON: ");
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
@@ -1,13 +1,13 @@
 package walkpost.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
+import walkpost.Balancer;
 import walkpost.Balancer.Backend;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Event;
 import walkpost.Balancer.Fetch;
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Members;
-import walkpost.Balancer.State;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Watch;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -25,15 +25,15 @@
 /** Checks the calls to discovery and the lists taken from it; the test plays discovery. */
 class DiscoveryClientTest {
     /** Returns a balancer that opens the watch at its first event and again after each failed call. */
-    private static Fixture.Module watcher() {
+    private static ProxyFixture.BalancerStub watcher() {
         return (event, actions) -> {
-            if (event instanceof Members members && (members.kind() == ListKind.CACHED || members.kind() == ListKind.FAILED)) {
+            if (event instanceof Balancer.ListUpdate members && (members.kind() == ListKind.CACHED || members.kind() == ListKind.FAILED)) {
                 actions.accept(new Watch(true));
             }
         };
     }
 
-    private static Wire.Message readinessResponse(Fixture proxy) throws Exception {
+    private static RawConnection.Message readinessResponse(ProxyFixture proxy) throws Exception {
         try (var client = proxy.client()) {
             return client.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
@@ -44,18 +44,18 @@
     void stopsWaitingForALateFirstResponse() throws Exception {
         var channel = new EmbeddedChannel();
         channel.freezeTime();
-        var clock = new Clock();
-        var config = Config.parse(Fixture.config());
-        var backends = new Backends(clock, channel.eventLoop(), EmbeddedChannel::new, new Sockets(256), new Buffers(Long.MAX_VALUE), 1, 1);
-        var proxy = new Proxy(clock, channel.eventLoop(), (now, event, actions) -> { }, backends);
-        var discovery = new Discovery(channel.eventLoop(), NioSocketChannel::new, proxy, config.discovery(), config.settings());
-        discovery.known(config.known());
-        channel.advanceTimeBy(Discovery.INITIAL_WAIT_MS - 1, TimeUnit.MILLISECONDS);
+        var clock = new ProxyClock();
+        var config = Config.parse(ProxyFixture.config());
+        var backends = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256), new BufferBudget(Long.MAX_VALUE), 1, 1);
+        var proxy = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> { }, backends);
+        var discovery = new DiscoveryClient(channel.eventLoop(), NioSocketChannel::new, proxy, config.discovery(), config.settings());
+        discovery.start(config.known());
+        channel.advanceTimeBy(DiscoveryClient.INITIAL_WAIT_MS - 1, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
-        assertThat(discovery.settled()).isFalse();
+        assertThat(discovery.isInitialWaitOver()).isFalse();
         channel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
-        assertThat(discovery.settled()).isTrue();
+        assertThat(discovery.isInitialWaitOver()).isTrue();
         channel.finishAndReleaseAll();
     }
 
@@ -63,17 +63,17 @@
     @Test
     void treatsANewServerAsColdIfTheWallClockIsAhead() throws Exception {
         long startedMs = System.currentTimeMillis() - Duration.ofHours(1).toMillis();
-        try (var proxy = new Fixture(watcher())) {
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(42, true)));
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true)));
             call = proxy.discovery.accept();
             call.read();
-            String entry = Fixture.entry("s7", "127.0.0.1:1", "ready").replace("\"started_ms\":7", "\"started_ms\":" + startedMs);
-            call.send(Peer.ok(Fixture.list(43, false, entry)));
-            Members change = proxy.next(Members.class);
+            String entry = ProxyFixture.serverEntry("s7", "127.0.0.1:1", "ready").replace("\"started_ms\":7", "\"started_ms\":" + startedMs);
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, entry)));
+            Balancer.ListUpdate change = proxy.nextEvent(Balancer.ListUpdate.class);
             while (change.kind() != ListKind.DELTA) {
-                change = proxy.next(Members.class);
+                change = proxy.nextEvent(Balancer.ListUpdate.class);
             }
             assertThat(change.backends().get(0).startedAtUs()).isGreaterThan((startedMs + Duration.ofMinutes(59).toMillis()) * 1_000);
         }
@@ -82,20 +82,20 @@
     /** A proxy is ready if it can serve, so not without a server. */
     @Test
     void isReadyAfterTheFirstResponseWhileItHasAServer() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(watcher(), backend)) {
-            Members known = proxy.next(Members.class);
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(watcher(), backend)) {
+            Balancer.ListUpdate known = proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(known.kind()).isEqualTo(ListKind.CACHED);
-            assertThat(known.backends()).containsExactly(new Backend("s0", State.READY, "m", "a", 1, 7_000, 1));
-            Wire call = proxy.discovery.accept();
+            assertThat(known.backends()).containsExactly(new Backend("s0", Balancer.BackendState.READY, "m", "a", 1, 7_000, 1));
+            RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
-            call.send(Peer.ok(Fixture.list(41, false)));
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(41, false)));
             // The next call of the watch starts at once, and this one may wait for changes.
-            Wire next = proxy.discovery.accept();
+            RawConnection next = proxy.discovery.accept();
             assertThat(next.read().first())
                     .matches("GET /v1/endpoints\\?from=41&hold_ms=(4[1-9]\\d|[5-9]\\d{2}|[12]\\d{3}|3[0-3]\\d{2}) HTTP/1.1");
             assertThat(readinessResponse(proxy).status()).isEqualTo(200);
-            next.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s0", backend.address(), "gone"))));
-            Wire last = proxy.discovery.accept();
+            next.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s0", backend.address(), "gone"))));
+            RawConnection last = proxy.discovery.accept();
             assertThat(last.read().first()).contains("from=43&");
             assertThat(readinessResponse(proxy).status()).isEqualTo(503);
         }
@@ -103,32 +103,32 @@
 
     @Test
     void deliversChangesAndFullLists() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s7", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s7", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
             call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s7", "127.0.0.1:1", "draining"))));
-            Members change = proxy.next(Members.class);
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s7", "127.0.0.1:1", "draining"))));
+            Balancer.ListUpdate change = proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(change.kind()).isEqualTo(ListKind.DELTA);
-            assertThat(change.backends()).extracting(Backend::state).containsExactly(State.DRAINING);
+            assertThat(change.backends()).extracting(Backend::state).containsExactly(Balancer.BackendState.DRAINING);
         }
     }
 
     /** A discovery that responds at once without changes is called again within the 200 ms of a watch, but not in a tight loop. */
     @Test
     void pausesAfterAnEarlyResponseWithoutChanges() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            Wire first = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            RawConnection first = proxy.discovery.accept();
             first.read();
-            first.send(Peer.ok(Fixture.list(41, false)));
-            Wire second = proxy.discovery.accept();
+            first.send(FakeServer.okResponse(ProxyFixture.serverList(41, false)));
+            RawConnection second = proxy.discovery.accept();
             second.read();
             long answered = System.nanoTime();
-            second.send(Peer.ok(Fixture.list(41, false)));
+            second.send(FakeServer.okResponse(ProxyFixture.serverList(41, false)));
             proxy.discovery.accept().read();
             assertThat(System.nanoTime() - answered).isGreaterThan(40_000_000);
         }
@@ -145,13 +145,13 @@
         "HTTP/1.1 200 OK\r\n\r\n{\"version\":42,\"full\":true,\"servers\":[",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n28\r\n{\"version\":42,\"full\":true,\"servers\":[]} \r\n"})
     void notifiesTheBalancerOfAFailedCall(String response) throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            try (Wire call = proxy.discovery.accept()) {
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            try (RawConnection call = proxy.discovery.accept()) {
                 call.read();
                 call.send(response);
             }
-            assertThat(proxy.next(Members.class)).isEqualTo(new Members(ListKind.FAILED, List.of()));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class)).isEqualTo(new Balancer.ListUpdate(ListKind.FAILED, List.of()));
             assertThat(proxy.discovery.accept().read().first()).contains("from=41&hold_ms=0");
         }
     }
@@ -159,19 +159,19 @@
     /** TCP does not report a watch that has fallen silent. It is hedged by a parallel call and closed once that one is answered. */
     @Test
     void hedgesASilentWatch() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire first = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection first = proxy.discovery.accept();
             first.read();
-            first.send(Peer.ok(Fixture.list(41, false)));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.DELTA);
-            Wire silent = proxy.discovery.accept();
+            first.send(FakeServer.okResponse(ProxyFixture.serverList(41, false)));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
+            RawConnection silent = proxy.discovery.accept();
             silent.read();
-            Wire hedge = proxy.discovery.accept();
+            RawConnection hedge = proxy.discovery.accept();
             assertThat(hedge.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
-            hedge.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.next(Members.class).backends()).extracting(Backend::id).containsExactly("s1");
-            assertThat(silent.ended()).isTrue();
+            hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
+            assertThat(silent.awaitClose()).isTrue();
             assertThat(proxy.discovery.accept().read().first()).contains("from=42&");
         }
     }
@@ -179,46 +179,46 @@
     /** The balancer is not notified of a failed hedge call while the first call is open. */
     @Test
     void continuesACallWhoseHedgeFails() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire first = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection first = proxy.discovery.accept();
             first.read();
-            try (Wire second = proxy.discovery.accept()) {
+            try (RawConnection second = proxy.discovery.accept()) {
                 second.read();
             }
-            first.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
+            first.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
         }
     }
 
     /** A malformed entry must not cause the loss of the others. */
     @Test
     void leavesMalformedEntriesOut() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("", "127.0.0.1:1", "ready"), "7", "null", "{}",
-                    Fixture.entry("s1", "localhost:1", "ready"), Fixture.entry("s2", "127.0.0.1:99999", "ready"),
-                    Fixture.entry("s3", "127.0.0.1:1", "asleep"), Fixture.entry("s4", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).backends()).extracting(Backend::id).containsExactly("s4");
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("", "127.0.0.1:1", "ready"), "7", "null", "{}",
+                    ProxyFixture.serverEntry("s1", "localhost:1", "ready"), ProxyFixture.serverEntry("s2", "127.0.0.1:99999", "ready"),
+                    ProxyFixture.serverEntry("s3", "127.0.0.1:1", "asleep"), ProxyFixture.serverEntry("s4", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s4");
         }
     }
 
     /** A malformed change may have been a drain. */
     @Test
     void requestsTheFullListAfterAMalformedChange() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s1", "127.0.0.1:1", "draining"),
-                    Fixture.entry("s2", "", "draining"))));
-            assertThat(proxy.next(Members.class).backends()).extracting(Backend::id).containsExactly("s1");
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"),
+                    ProxyFixture.serverEntry("s2", "", "draining"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
             call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s2", "", "draining"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s2", "", "draining"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
             // The full list is not requested again and again if it contains a malformed entry itself.
             assertThat(proxy.discovery.accept().read().first()).contains("?from=42&");
         }
@@ -227,49 +227,49 @@
     /** Bytes that trickle in do not extend the time of a call, which counts from its start. */
     @Test
     void hedgesACallWhoseResponseNeverEnds() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire first = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection first = proxy.discovery.accept();
             first.read();
             first.send("HTTP/1.1 200 OK\r\n\r\n{\"version\":42,\"full\":true,\"servers\":[");
-            Wire hedge = proxy.discovery.accept();
+            RawConnection hedge = proxy.discovery.accept();
             first.send(" ");
             hedge.read();
-            hedge.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.DELTA);
-            assertThat(first.ended()).isTrue();
+            hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
+            assertThat(first.awaitClose()).isTrue();
         }
     }
 
     @Test
     void requestsTheFullListOnce() throws Exception {
-        try (var proxy = new Fixture((Event event, java.util.function.Consumer<walkpost.Balancer.Action> actions) -> {
-            if (event instanceof Members members && members.kind() == ListKind.CACHED) {
+        try (var proxy = new ProxyFixture((Event event, java.util.function.Consumer<Balancer.Action> actions) -> {
+            if (event instanceof Balancer.ListUpdate members && members.kind() == ListKind.CACHED) {
                 actions.accept(new Fetch());
             }
         })) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
         }
     }
 
     /** The watch at the old address ends at once, and the new address is asked for the full list, not for changes. */
     @Test
     void followsDiscoveryToItsNewAddress(@TempDir Path dir) throws Exception {
-        try (var backend = new Peer(); var moved = new Peer(); var proxy = new Fixture(watcher(), backend)) {
-            proxy.next(Members.class);
-            Wire old = proxy.discovery.accept();
+        try (var backend = new FakeServer(); var moved = new FakeServer(); var proxy = new ProxyFixture(watcher(), backend)) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection old = proxy.discovery.accept();
             old.read();
-            ObjectNode config = Fixture.config().put("discovery", moved.address());
+            ObjectNode config = ProxyFixture.config().put("discovery", moved.address());
             proxy.reconfigure(Files.writeString(dir.resolve("config.json"), config.toString()));
-            Wire call = moved.accept();
+            RawConnection call = moved.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            assertThat(old.ended()).isTrue();
-            call.send(Peer.ok(Fixture.list(3, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
-            Members list = proxy.next(Members.class);
+            assertThat(old.awaitClose()).isTrue();
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
+            Balancer.ListUpdate list = proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(list.kind()).isEqualTo(ListKind.FULL);
             assertThat(list.backends()).extracting(Backend::id).containsExactly("s1");
             assertThat(moved.accept().read().first()).contains("from=3&");
@@ -277,9 +277,9 @@
     }
 
     /** Returns a balancer that opens the watch and requests the full list. */
-    private static Fixture.Module watcherThatFetches() {
+    private static ProxyFixture.BalancerStub watcherThatFetches() {
         return (event, actions) -> {
-            if (event instanceof Members members && members.kind() == ListKind.CACHED) {
+            if (event instanceof Balancer.ListUpdate members && members.kind() == ListKind.CACHED) {
                 actions.accept(new Watch(true));
                 actions.accept(new Fetch());
             }
@@ -287,9 +287,9 @@
     }
 
     /** Accepts calls until one whose request line starts with a prefix, and leaves the others open. */
-    private static Wire acceptCall(Peer discovery, String prefix) throws Exception {
+    private static RawConnection acceptCall(FakeServer discovery, String prefix) throws Exception {
         while (true) {
-            Wire call = discovery.accept();
+            RawConnection call = discovery.accept();
             if (call.read().first().startsWith(prefix)) {
                 return call;
             }
@@ -299,31 +299,31 @@
     /** The older list would bring the draining server back. */
     @Test
     void requestsAFullListAgainIfAChangeHasOvertakenIt() throws Exception {
-        try (var proxy = new Fixture(watcherThatFetches())) {
-            proxy.next(Members.class);
+        try (var proxy = new ProxyFixture(watcherThatFetches())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
             // The balancer's actions are carried out in order.
-            Wire watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
-            Wire fetch = acceptCall(proxy.discovery, "GET /v1/endpoints HTTP");
-            watch.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.DELTA);
-            fetch.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
+            RawConnection watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
+            RawConnection fetch = acceptCall(proxy.discovery, "GET /v1/endpoints HTTP");
+            watch.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
+            fetch.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             acceptCall(proxy.discovery, "GET /v1/endpoints HTTP")
-                    .send(Peer.ok(Fixture.list(43, true, Fixture.entry("s1", "127.0.0.1:1", "draining"))));
-            Members next = proxy.next(Members.class);
+                    .send(FakeServer.okResponse(ProxyFixture.serverList(43, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            Balancer.ListUpdate next = proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(next.kind()).isEqualTo(ListKind.FULL);
-            assertThat(next.backends()).extracting(Backend::state).containsExactly(State.DRAINING);
+            assertThat(next.backends()).extracting(Backend::state).containsExactly(Balancer.BackendState.DRAINING);
         }
     }
 
     @Test
     void dropsAChangeThatAFullListHasOvertaken() throws Exception {
-        try (var proxy = new Fixture(watcherThatFetches())) {
-            proxy.next(Members.class);
-            Wire watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
+        try (var proxy = new ProxyFixture(watcherThatFetches())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
             acceptCall(proxy.discovery, "GET /v1/endpoints HTTP")
-                    .send(Peer.ok(Fixture.list(44, true, Fixture.entry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
-            watch.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
+                    .send(FakeServer.okResponse(ProxyFixture.serverList(44, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
+            watch.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=44&");
             assertThat(proxy.events).isEmpty();
         }
@@ -331,21 +331,21 @@
 
     @Test
     void dropsResponsesFromTheOldAddress(@TempDir Path dir) throws Exception {
-        try (var moved = new Peer(); var proxy = new Fixture(watcherThatFetches())) {
-            proxy.next(Members.class);
+        try (var moved = new FakeServer(); var proxy = new ProxyFixture(watcherThatFetches())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
             acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
-            Wire old = acceptCall(proxy.discovery, "GET /v1/endpoints HTTP");
+            RawConnection old = acceptCall(proxy.discovery, "GET /v1/endpoints HTTP");
             proxy.reconfigure(Files.writeString(dir.resolve("config.json"),
-                    Fixture.config().put("discovery", moved.address()).toString()));
-            Wire first = moved.accept();
-            old.send(Peer.ok(Fixture.list(99, true, Fixture.entry("s9", "127.0.0.1:1", "ready"))));
-            first.send(Peer.ok(Fixture.list(3, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
+                    ProxyFixture.config().put("discovery", moved.address()).toString()));
+            RawConnection first = moved.accept();
+            old.send(FakeServer.okResponse(ProxyFixture.serverList(99, true, ProxyFixture.serverEntry("s9", "127.0.0.1:1", "ready"))));
+            first.send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             for (int responses = 0; responses < 2; responses++) {
-                assertThat(proxy.next(Members.class).backends()).extracting(Backend::id).containsExactly("s1");
+                assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
                 // One of the two calls belongs to the watch, which continues; the other is for the full list that the balancer requested.
                 if (responses == 0) {
                     acceptCall(moved, "GET /v1/endpoints HTTP")
-                            .send(Peer.ok(Fixture.list(3, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
+                            .send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
                 }
             }
         }
@@ -353,27 +353,27 @@
 
     @Test
     void requestsTheFullListIfARestartedDiscoverySendsChanges() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(3, false, Fixture.entry("s1", "127.0.0.1:1", "draining"))));
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(3, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
             call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            call.send(Peer.ok(Fixture.list(4, true, Fixture.entry("s2", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).backends()).extracting(Backend::id).containsExactly("s2");
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(4, true, ProxyFixture.serverEntry("s2", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s2");
             assertThat(proxy.discovery.accept().read().first()).contains("?from=4&");
         }
     }
 
     @Test
     void takesTheFullListOfARestartedDiscovery() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(3, true, Fixture.entry("s2", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).backends()).extracting(Backend::id).containsExactly("s2");
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s2", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s2");
             assertThat(proxy.discovery.accept().read().first()).contains("?from=3&");
         }
     }
@@ -381,9 +381,9 @@
     /** A response that grows without end must not be kept in memory; it counts as one failed call. */
     @Test
     void failsACallWhoseResponseGrowsWithoutEnd() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             call.read();
             try {
                 call.send("HTTP/1.1 200 OK\r\n\r\n{\"version\":42,\"full\":true,\"servers\":[");
@@ -393,8 +393,8 @@
             } catch (java.io.IOException e) {
                 // The proxy has closed the connection, as expected.
             }
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FAILED);
-            assertThat(call.ended()).isTrue();
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FAILED);
+            assertThat(call.awaitClose()).isTrue();
             assertThat(proxy.discovery.accept().read().first()).contains("from=41&hold_ms=0");
         }
     }
@@ -402,17 +402,17 @@
     /** The balancer intends to reopen the watch later; if lists are pushed from now on it no longer does. */
     @Test
     void reopensTheWatchItselfOnceListsArePushed(@TempDir Path dir) throws Exception {
-        try (var proxy = new Fixture((event, actions) -> {
-            if (event instanceof Members members && members.kind() == ListKind.CACHED) {
+        try (var proxy = new ProxyFixture((event, actions) -> {
+            if (event instanceof Balancer.ListUpdate members && members.kind() == ListKind.CACHED) {
                 actions.accept(new Watch(true));
             }
         })) {
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             call.read();
             call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-            proxy.next(Members.class);
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FAILED);
-            ObjectNode config = Fixture.config().put("discovery", proxy.discovery.address());
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FAILED);
+            ObjectNode config = ProxyFixture.config().put("discovery", proxy.discovery.address());
             ((ObjectNode) config.path("settings")).put("registry_mode", "pushed");
             proxy.reconfigure(Files.writeString(dir.resolve("config.json"), config.toString()));
             assertThat(proxy.discovery.accept().read().first()).contains("from=41&hold_ms=0");
@@ -421,29 +421,29 @@
 
     @Test
     void ignoresAnInvalidConfiguration(@TempDir Path dir) throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
-            Wire call = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            RawConnection call = proxy.discovery.accept();
             call.read();
             proxy.reconfigure(dir.resolve("none"));
             proxy.reconfigure(Files.writeString(dir.resolve("half"), "{\"name\":"));
-            call.send(Peer.ok(Fixture.list(42, true)));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true)));
+            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
         }
     }
 
     /** SIGHUP, which ends a JVM without a handler for it, must only reload the configuration. */
     @Test
     void reloadsTheConfigurationOnSighup(@TempDir Path dir) throws Exception {
-        try (var first = new Peer(); var second = new Peer();
-                var program = new Program(dir, Fixture.config().put("discovery", first.address()))) {
-            Wire call = first.accept();
+        try (var first = new FakeServer(); var second = new FakeServer();
+                var program = new ServeProcess(dir, ProxyFixture.config().put("discovery", first.address()))) {
+            RawConnection call = first.accept();
             call.read();
-            program.line("listening");
-            program.configure(Fixture.config().put("discovery", second.address()));
+            program.waitForLine("listening");
+            program.writeConfig(ProxyFixture.config().put("discovery", second.address()));
             program.signal("HUP");
             assertThat(second.accept().read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            assertThat(program.ended()).isFalse();
+            assertThat(program.hasEnded()).isFalse();
         }
     }
 }
