--- a/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
@@ -1,10 +1,9 @@
 package walkpost.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
-import walkpost.BackOff;
+import walkpost.Balancer;
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Members;
+import walkpost.DiscoveryBackOff;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
@@ -59,7 +58,7 @@
         private final long outageStartMs;
         private final long outageEndMs;
         private final List<Call> openCalls = new ArrayList<>();
-        private final Discovery discovery;
+        private final DiscoveryClient discovery;
         private long nowMs;
         private int failedCalls;
         private int maxOpenCalls;
@@ -78,20 +77,20 @@
                     ? outageStartMs : outageStartMs + random.nextInt(15_000) / STEP_MS * STEP_MS;
             channel.freezeTime();
             try {
-                ObjectNode json = Fixture.config().put("seed", "%016x".formatted(random.nextLong()));
+                ObjectNode json = ProxyFixture.config().put("seed", "%016x".formatted(random.nextLong()));
                 ((ObjectNode) json.path("settings").path("invariants")).put("must_ask_in_us", withinMs * 1_000);
                 Config config = Config.parse(json);
-                var clock = new Clock();
-                var backends = new Backends(clock, channel.eventLoop(), EmbeddedChannel::new, new Sockets(256),
-                        new Buffers(Long.MAX_VALUE), 1, 1);
-                var proxy = new Proxy(clock, channel.eventLoop(), (now, event, actions) -> {
-                    if (event instanceof Members members) {
+                var clock = new ProxyClock();
+                var backends = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256),
+                        new BufferBudget(Long.MAX_VALUE), 1, 1);
+                var proxy = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> {
+                    if (event instanceof Balancer.ListUpdate members) {
                         onList(members.kind());
                     }
                 }, backends);
-                discovery = new Discovery(channel.eventLoop(), proxy, config.discovery(), config.settings(), this::send);
-                discovery.known(config.known());
-            } catch (IOException | Config.BadConfig e) {
+                discovery = new DiscoveryClient(channel.eventLoop(), proxy, config.discovery(), config.settings(), this::send);
+                discovery.start(config.known());
+            } catch (IOException | Config.InvalidConfigException e) {
                 throw new AssertionError(e);
             }
         }
@@ -100,10 +99,10 @@
         private void onList(ListKind kind) {
             if (kind == ListKind.FAILED) {
                 failedCalls++;
-                long backOffUs = BackOff.us(withinMs * 1_000, failedCalls, longestBackOff ? 1 : random.nextDouble());
-                channel.eventLoop().schedule(() -> discovery.watch(true), backOffUs, TimeUnit.MICROSECONDS);
+                long backOffUs = DiscoveryBackOff.delayUs(withinMs * 1_000, failedCalls, longestBackOff ? 1 : random.nextDouble());
+                channel.eventLoop().schedule(() -> discovery.setWatching(true), backOffUs, TimeUnit.MICROSECONDS);
             } else if (kind == ListKind.CACHED) {
-                channel.eventLoop().execute(() -> discovery.watch(true));
+                channel.eventLoop().execute(() -> discovery.setWatching(true));
             } else {
                 failedCalls = 0;
             }
@@ -172,7 +171,7 @@
                 openCalls.remove(this);
                 receivedMs = version == 42 && receivedMs < 0 ? nowMs : receivedMs;
                 try {
-                    callback.received(Config.JSON.readTree(Fixture.list(version, false)));
+                    callback.received(Config.JSON.readTree(ProxyFixture.serverList(version, false)));
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
--- a/proxy/src/test/java/walkpost/proxy/ExclusionStoreTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ExclusionStoreTest.java
@@ -28,20 +28,20 @@
     void anUnreadableDirectoryEndsNoExclusion() throws Exception {
         channel.freezeTime();
         Path directory = tempDirectory.resolve("excluded");
-        var backends = new Backends(new Clock(), channel.eventLoop(), EmbeddedChannel::new, new Sockets(256), new Buffers(1 << 20), 1, 1);
-        var proxy = new Proxy(new Clock(), channel.eventLoop(), (now, event, actions) -> events.add(event), backends);
-        var exclusions = new Exclusions(channel.eventLoop(), new TakenOut(proxy), directory, "operators");
+        var backends = new ServerConnections(new ProxyClock(), channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256), new BufferBudget(1 << 20), 1, 1);
+        var proxy = new BalancerDriver(new ProxyClock(), channel.eventLoop(), (now, event, actions) -> events.add(event), backends);
+        var exclusions = new ExclusionStore(channel.eventLoop(), new ExcludedServers(proxy), directory, "operators");
         exclusions.start();
-        exclusions.obey("s0", true);
+        exclusions.apply("s0", true);
         Path movedAway = Files.move(directory, tempDirectory.resolve("aside"));
         // Opening a symbolic link to itself fails with ELOOP, which does not mean that the directory is missing.
         Files.createSymbolicLink(directory, directory);
         waitForScan();
-        assertThat(exclusions.standing()).containsExactly("s0");
+        assertThat(exclusions.excludedIds()).containsExactly("s0");
         Files.delete(directory);
         Files.move(movedAway, directory);
         waitForScan();
-        assertThat(exclusions.standing()).containsExactly("s0");
+        assertThat(exclusions.excludedIds()).containsExactly("s0");
         assertThat(events).containsExactly(new Balancer.Excluded("s0"));
         channel.finishAndReleaseAll();
     }
--- a/proxy/src/test/java/walkpost/proxy/FakeFleet.java
+++ b/proxy/src/test/java/walkpost/proxy/FakeFleet.java
@@ -10,17 +10,17 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Consumer;
-import walkpost.fleet.copy.Acting;
-import walkpost.fleet.copy.Fact;
+import walkpost.fleet.copy.EffectiveOrder;
+import walkpost.fleet.copy.Entry;
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.Member;
 import walkpost.fleet.member.Standing;
 import walkpost.fleet.shell.Coverage;
-import walkpost.fleet.shell.FactsHeard;
 import walkpost.fleet.shell.FleetHandle;
 import walkpost.fleet.shell.FleetListener;
+import walkpost.fleet.shell.TopicEntries;
 
 /** A fleet that is controlled by the test and records the calls on it. */
 final class FakeFleet implements FleetHandle {
@@ -34,7 +34,7 @@
     final BlockingQueue<IssuedOrder> issuedOrders = new LinkedBlockingQueue<>();
     /** Entries as topic, subject and payload. */
     final BlockingQueue<String> publishedEntries = new LinkedBlockingQueue<>();
-    final List<Fact> entries = new CopyOnWriteArrayList<>();
+    final List<Entry> entries = new CopyOnWriteArrayList<>();
     /** Queries for the coverage of an order, as topic, subject and order id. */
     final List<String> coverageQueries = new CopyOnWriteArrayList<>();
     final CompletableFuture<Coverage> coverage = new CompletableFuture<>();
@@ -44,7 +44,7 @@
     volatile Map<String, Integer> lives = Map.of();
     volatile long controlAgeUs;
     final CompletableFuture<Void> closed = new CompletableFuture<>();
-    private final Map<Order.Key, Acting> orders = new ConcurrentHashMap<>();
+    private final Map<Order.Key, EffectiveOrder> orders = new ConcurrentHashMap<>();
     private final List<Member> members = new CopyOnWriteArrayList<>();
     private final CompletableFuture<Consumer<Consumer<FleetListener>>> listener = new CompletableFuture<>();
     private final long boundUs;
@@ -61,9 +61,9 @@
     /** Puts an order on a server in force and notifies the listener. */
     void putInForce(String server, String payload, String... rivalIds) {
         var key = new Order.Key("exclusion", server);
-        var acting = new Acting(payload, order(key, payload, "o1"), List.of(rivalIds).stream().map(id -> order(key, payload, id)).toList());
+        var acting = new EffectiveOrder(payload, order(key, payload, "o1"), List.of(rivalIds).stream().map(id -> order(key, payload, id)).toList());
         orders.put(key, acting);
-        notifyListener(each -> each.stands(key, acting));
+        notifyListener(each -> each.effectiveOrderChanged(key, acting));
     }
 
     private static Order order(Order.Key key, String payload, String id) {
@@ -72,7 +72,7 @@
 
     void setCaughtUp(boolean isCaughtUp) {
         caughtUp = isCaughtUp;
-        notifyListener(each -> each.level(isCaughtUp));
+        notifyListener(each -> each.caughtUpChanged(isCaughtUp));
     }
 
     /** Adds a member or replaces it, and notifies the listener if there is one. */
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void tell(String topic, String subject, String payload) {
+    public void writeEntry(String topic, String subject, String payload) {
         publishedEntries.add(topic + " " + subject + " " + payload);
     }
 
@@ -113,19 +113,19 @@
     }
 
     @Override
-    public boolean level() {
+    public boolean isCaughtUp() {
         return caughtUp;
     }
 
     @Override
-    public Map<Order.Key, Acting> orders() {
+    public Map<Order.Key, EffectiveOrder> orders() {
         return Map.copyOf(orders);
     }
 
     @Override
-    public CompletionStage<FactsHeard> facts(String topic) {
+    public CompletionStage<TopicEntries> entries(String topic) {
         return CompletableFuture.completedFuture(
-                new FactsHeard(entries.stream().filter(entry -> entry.key().topic().equals(topic)).toList(), silent));
+                new TopicEntries(entries.stream().filter(entry -> entry.key().topic().equals(topic)).toList(), silent));
     }
 
     @Override
--- a/proxy/src/test/java/walkpost/proxy/Peer.java
+++ b/proxy/src/test/java/walkpost/proxy/FakeServer.java
@@ -15,11 +15,11 @@
  * A server, or discovery, that the test plays: the test accepts its connections and sends the responses. Its methods may be called on any
  * thread.
  */
-final class Peer implements Closeable {
+final class FakeServer implements Closeable {
     private final ServerSocket listener;
-    private final List<Wire> connections = new ArrayList<>();
+    private final List<RawConnection> connections = new ArrayList<>();
 
-    Peer() throws IOException {
+    FakeServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         listener.setSoTimeout(10_000);
     }
@@ -29,8 +29,8 @@
     }
 
     /** Waits for the next connection. */
-    Wire accept() throws IOException {
-        var connection = new Wire(listener.accept());
+    RawConnection accept() throws IOException {
+        var connection = new RawConnection(listener.accept());
         synchronized (connections) {
             connections.add(connection);
         }
@@ -38,13 +38,13 @@
     }
 
     /** Accepts all connections from now on and answers each request with the same response, on threads of its own; returns the requests. */
-    BlockingQueue<Wire.Message> always(String response) {
-        var requests = new LinkedBlockingQueue<Wire.Message>();
+    BlockingQueue<RawConnection.Message> answerAll(String response) {
+        var requests = new LinkedBlockingQueue<RawConnection.Message>();
         background(() -> {
             while (true) {
-                Wire connection = accept();
+                RawConnection connection = accept();
                 background(() -> {
-                    for (Wire.Message request = connection.read(); request != null; request = connection.read()) {
+                    for (RawConnection.Message request = connection.read(); request != null; request = connection.read()) {
                         requests.add(request);
                         connection.send(response);
                     }
@@ -54,17 +54,17 @@
         return requests;
     }
 
-    static String ok(String body) {
-        return answer("200 OK", body);
+    static String okResponse(String body) {
+        return response("200 OK", body);
     }
 
-    static String answer(String status, String body, String... headers) {
+    static String response(String status, String body, String... headers) {
         return "HTTP/1.1 " + status + "\r\n" + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n")
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** Removes and returns the next element; fails if there is none for 10 s. */
-    static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+    static <T> T takeNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(10, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("the queue stayed empty for 10 s");
@@ -96,7 +96,7 @@
     public void close() throws IOException {
         listener.close();
         synchronized (connections) {
-            for (Wire connection : connections) {
+            for (RawConnection connection : connections) {
                 connection.close();
             }
         }
--- a/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
@@ -36,15 +36,15 @@
                 secret = "fleet.key"
                 %s
                 """.formatted(bind, moreLines));
-        return Map.of(Surroundings.FLEET, file.toString());
+        return Map.of(ProcessEnvironment.FLEET, file.toString());
     }
 
     private static ObjectNode config() throws Exception {
-        return Fixture.config();
+        return ProxyFixture.config();
     }
 
     private List<String> start(Map<String, String> environment) throws Exception {
-        try (var program = new Program(dir, config(), environment, LOG_CLASS_LOADING)) {
+        try (var program = new ServeProcess(dir, config(), environment, LOG_CLASS_LOADING)) {
             List<String> lines = program.linesUpTo(" INFO serve listening ");
             assertThat(lines).anyMatch(line -> line.contains("walkpost.proxy.Serve "));
             assertThat(lines.get(lines.size() - 1)).contains(" INFO serve listening ");
@@ -65,9 +65,9 @@
 
     @Test
     void exitsWithTheReasonIfTheFleetFileIsInvalid() throws Exception {
-        try (var program = new Program(dir, config(), fleet("nowhere"))) {
-            assertThat(program.line("bad_configuration")).contains("WALKPOST_FLEET").contains("fleet.toml").contains("bind");
-            assertThat(program.status()).isEqualTo(2);
+        try (var program = new ServeProcess(dir, config(), fleet("nowhere"))) {
+            assertThat(program.waitForLine("bad_configuration")).contains("WALKPOST_FLEET").contains("fleet.toml").contains("bind");
+            assertThat(program.exitStatus()).isEqualTo(2);
         }
     }
 
@@ -75,26 +75,26 @@
     void exitsWithTheReasonIfTheFleetAddressIsInUse() throws Exception {
         try (var tcp = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 var udp = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), tcp.getLocalPort()));
-                var program = new Program(dir, config(), fleet("127.0.0.1:" + udp.getLocalPort()))) {
-            assertThat(program.line("bad_configuration")).contains("WALKPOST_FLEET").contains("can't listen at");
-            assertThat(program.status()).isEqualTo(2);
+                var program = new ServeProcess(dir, config(), fleet("127.0.0.1:" + udp.getLocalPort()))) {
+            assertThat(program.waitForLine("bad_configuration")).contains("WALKPOST_FLEET").contains("can't listen at");
+            assertThat(program.exitStatus()).isEqualTo(2);
         }
     }
 
     /** Both processes of an upgrade are the same member, so the orders' directory belongs to the old process until that ends. */
     @Test
     void theNewProcessBecomesTheMemberOnceTheOldOneHasEnded() throws Exception {
-        try (var backend = new Peer(); var discovery = new Peer(); var platform = new Platform(dir,
+        try (var backend = new FakeServer(); var discovery = new FakeServer(); var platform = new SocketActivator(dir,
                 UpgradeTest.config(backend, discovery), fleet("127.0.0.1:0", "directory = \"orders\""))) {
-            discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", backend.address(), "ready"))));
-            platform.start();
-            assertThat(platform.line("fleet_started|joins_later")).contains("fleet_started");
-            platform.line("listening proxy=n0 socket=inherited");
-            platform.start();
-            assertThat(platform.line("fleet_started|joins_later")).contains("joins_later").contains("in use");
-            platform.line("listening proxy=n0 socket=inherited");
-            platform.endFirst();
-            assertThat(platform.line("fleet_started")).contains("member=n0");
+            discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", backend.address(), "ready"))));
+            platform.startProxy();
+            assertThat(platform.waitForLine("fleet_started|joins_later")).contains("fleet_started");
+            platform.waitForLine("listening proxy=n0 socket=inherited");
+            platform.startProxy();
+            assertThat(platform.waitForLine("fleet_started|joins_later")).contains("joins_later").contains("in use");
+            platform.waitForLine("listening proxy=n0 socket=inherited");
+            platform.terminateOldest();
+            assertThat(platform.waitForLine("fleet_started")).contains("member=n0");
         }
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/IdleConnectionsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/IdleConnectionsTest.java
@@ -9,7 +9,7 @@
 /** Tests which idle connection an attempt gets. */
 class IdleConnectionsTest {
     private long nowUs;
-    private final RestingConnections idleConnections = new RestingConnections(() -> nowUs, new Sockets(1_024));
+    private final IdleConnections idleConnections = new IdleConnections(() -> nowUs, new ConnectionBudget(1_024));
 
     private Channel addIdle() {
         var channel = new EmbeddedChannel();
--- a/proxy/src/test/java/walkpost/proxy/LingeringCloseTest.java
+++ b/proxy/src/test/java/walkpost/proxy/LingeringCloseTest.java
@@ -26,18 +26,18 @@
     @Test
     void inputThatCrossesTheCloseDoesNotDestroyTheResponse() throws Exception {
         String body = "0123456789".repeat(6_000);
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var socket = new Socket()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var socket = new Socket()) {
             // A small buffer, so that most of the response waits on the proxy's side.
             socket.setReceiveBufferSize(4_096);
             socket.connect(proxy.address);
-            var client = new Wire(socket);
-            client.send(Fixture.get("r1").replace("X-Tenant-Id", "Connection: close\r\nX-Tenant-Id")
-                    + Fixture.get("r2").repeat(2_000));
-            Wire attempt = server.accept();
+            var client = new RawConnection(socket);
+            client.send(ProxyFixture.get("r1").replace("X-Tenant-Id", "Connection: close\r\nX-Tenant-Id")
+                    + ProxyFixture.get("r2").repeat(2_000));
+            RawConnection attempt = server.accept();
             attempt.read();
-            attempt.send(Peer.ok(body));
+            attempt.send(FakeServer.okResponse(body));
             assertThat(client.read().body()).isEqualTo(body);
-            assertThat(client.rest()).isEmpty();
+            assertThat(client.readToEnd()).isEmpty();
             assertThat(proxy.events.stream().filter(Arrival.class::isInstance)).hasSize(1);
         }
     }
@@ -53,9 +53,9 @@
             }
         });
         channel.freezeTime();
-        var closing = new Closing(channel, new Sockets(256));
-        closing.begin();
-        closing.begin();
+        var closing = new LingeringClose(channel, new ConnectionBudget(256));
+        closing.start();
+        closing.start();
         assertThat(writes).hasSize(1);
         assertThat(channel.config().isAutoRead()).isFalse();
         channel.advanceTimeBy(10, TimeUnit.SECONDS);
@@ -73,20 +73,20 @@
     /** A client whose idle connection is closed to make room may be sending a request just then: it gets an orderly close, not a reset. */
     @Test
     void aRequestThatCrossesTheCloseOfAnIdleConnectionIsNotServed() throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
-            server.always(Peer.ok("x"));
+        var clients = new ArrayList<RawConnection>();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 128, 15_000_000, server)) {
+            server.answerAll(FakeServer.okResponse("x"));
             for (int i = 0; i < 21; i++) {
                 clients.add(proxy.client());
-                assertThat(clients.get(i).send(Fixture.get("r" + i)).read().status()).isEqualTo(200);
+                assertThat(clients.get(i).send(ProxyFixture.get("r" + i)).read().status()).isEqualTo(200);
             }
-            Wire first = clients.get(0);
-            assertThat(first.rest()).isEmpty();
-            first.send(Fixture.get("late")).send(Fixture.get("later"));
-            assertThat(clients.get(20).send(Fixture.get("last")).read().status()).isEqualTo(200);
+            RawConnection first = clients.get(0);
+            assertThat(first.readToEnd()).isEmpty();
+            first.send(ProxyFixture.get("late")).send(ProxyFixture.get("later"));
+            assertThat(clients.get(20).send(ProxyFixture.get("last")).read().status()).isEqualTo(200);
             assertThat(proxy.events).noneMatch(e -> e instanceof Arrival a && a.id().startsWith("late"));
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
@@ -95,19 +95,19 @@
     /** At the limit of connections, one silent client is closed for each new client, and the others stay connected. */
     @Test
     void silentClientsMakeRoomForANewClient() throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
-            server.always(Peer.ok("x"));
+        var clients = new ArrayList<RawConnection>();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 128, 15_000_000, server)) {
+            server.answerAll(FakeServer.okResponse("x"));
             for (int i = 0; i < 20; i++) {
                 clients.add(proxy.client());
             }
             try (var client = proxy.client()) {
-                assertThat(client.send(Fixture.get("r1")).read().status()).isEqualTo(200);
-                assertThat(clients.get(19).send(Fixture.get("r2")).read().status()).isEqualTo(200);
-                assertThat(clients.get(0).ended()).isTrue();
+                assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
+                assertThat(clients.get(19).send(ProxyFixture.get("r2")).read().status()).isEqualTo(200);
+                assertThat(clients.get(0).awaitClose()).isTrue();
             }
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
@@ -120,28 +120,28 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 100})
     void theRequestOfAClientThatLeftBeforeItWasAcceptedIsNotSent(int pipelinedRequests) throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        var clients = new ArrayList<RawConnection>();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("gone")) {
                 actions.accept(new Send(a.id(), "s0", 0));
             }
         }, 128, 15_000_000, server)) {
             // As many clients as the proxy accepts; none can be closed to make room, because each waits for its response.
             for (int i = 0; i < 20; i++) {
-                clients.add(proxy.client().send(Fixture.get("r" + i)));
-                proxy.next(Arrival.class);
+                clients.add(proxy.client().send(ProxyFixture.get("r" + i)));
+                proxy.nextEvent(Arrival.class);
             }
             try (var gone = proxy.client()) {
-                gone.send(Fixture.get("gone") + Fixture.get("behind").repeat(pipelinedRequests));
+                gone.send(ProxyFixture.get("gone") + ProxyFixture.get("behind").repeat(pipelinedRequests));
             }
             clients.get(0).close();
-            assertThat(proxy.next(Arrival.class).id()).isEqualTo("gone");
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("gone");
-            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            assertThat(proxy.nextEvent(Arrival.class).id()).isEqualTo("gone");
+            assertThat(proxy.nextEvent(ClientGone.class).id()).isEqualTo("gone");
+            AttemptEnded ended = proxy.nextEvent(AttemptEnded.class);
             assertThat(ended.outcome()).isEqualTo(Outcome.NOT_SENT);
             assertThat(ended.last()).isTrue();
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
@@ -150,39 +150,39 @@
     /** The proxy keeps reading behind pipelined requests, or it would not notice that their client has gone. */
     @Test
     void theCloseBehindPipelinedRequestsIsNoticed() throws Exception {
-        try (var proxy = new Fixture((event, actions) -> { })) {
+        try (var proxy = new ProxyFixture((event, actions) -> { })) {
             try (var client = proxy.client()) {
-                client.send(Fixture.get("r1").replace("1900m", "60000m") + Fixture.get("r2").repeat(20));
-                assertThat(proxy.next(Arrival.class).id()).isEqualTo("r1");
+                client.send(ProxyFixture.get("r1").replace("1900m", "60000m") + ProxyFixture.get("r2").repeat(20));
+                assertThat(proxy.nextEvent(Arrival.class).id()).isEqualTo("r1");
             }
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r1");
+            assertThat(proxy.nextEvent(ClientGone.class).id()).isEqualTo("r1");
         }
     }
 
     /** The queued requests are answered, and the first one beyond the limit gets an error and ends the connection. */
     @Test
     void tooManyPipelinedRequestsAreRejected() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            String other = Fixture.get("r1").replace("/api", "/other");
-            String flood = Fixture.get("r0").replace("1900m", "60000m") + other.repeat(100_000);
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            String other = ProxyFixture.get("r1").replace("/api", "/other");
+            String flood = ProxyFixture.get("r0").replace("1900m", "60000m") + other.repeat(100_000);
             // This is more than the socket buffers hold, so it ends only if the proxy reads it.
             CompletableFuture.runAsync(() -> send(client, flood)).get(10, TimeUnit.SECONDS);
-            Wire attempt = server.accept();
+            RawConnection attempt = server.accept();
             attempt.read();
-            attempt.send(Peer.ok("x"));
+            attempt.send(FakeServer.okResponse("x"));
             assertThat(client.read().status()).isEqualTo(200);
             int queued = 0;
-            Wire.Message response = client.read();
+            RawConnection.Message response = client.read();
             for (; response.status() == 404; response = client.read()) {
                 queued++;
             }
             assertThat(response.status()).isEqualTo(429);
             assertThat(queued).isBetween(10, PipelinedRequests.MAX_BYTES / other.length());
-            assertThat(client.rest()).isEmpty();
+            assertThat(client.readToEnd()).isEmpty();
         }
     }
 
-    private static void send(Wire wire, String text) {
+    private static void send(RawConnection wire, String text) {
         try {
             wire.send(text);
         } catch (IOException e) {
--- a/proxy/src/test/java/walkpost/proxy/ListCallTimingTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ListCallTimingTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import walkpost.BackOff;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
@@ -10,6 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
+import walkpost.DiscoveryBackOff;
 
 /** Checks the timing of calls against each deadline of STANDING on silence; times are in milliseconds from the start of a call. */
 class ListCallTimingTest {
@@ -105,7 +105,7 @@
     /** Checks the rows of the table at {@link ListCallTiming} that include the balancer's back-off: each must stay within 6 s. */
     @Test
     void repeatsAFailedCallBeforeAChangeThatItMissedCounts() {
-        long backOffMs = BackOff.LONGEST_US / 1_000;
+        long backOffMs = DiscoveryBackOff.LONGEST_US / 1_000;
         for (long withinMs : ASK_WITHIN_MS) {
             var timing = new ListCallTiming(false, withinMs);
             for (long waitMs : waits(timing)) {
--- a/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
+++ b/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
@@ -22,27 +22,27 @@
     @TempDir
     private Path temp;
 
-    private static void assertAnswer(Wire caller, String firstWord) throws Exception {
-        assertThat(caller.rest()).startsWith(firstWord).endsWith("\n");
+    private static void assertAnswer(RawConnection caller, String firstWord) throws Exception {
+        assertThat(caller.readToEnd()).startsWith(firstWord).endsWith("\n");
     }
 
-    private void callUntilAnswered(Fixture proxy, String call, String firstWord) throws Exception {
-        while (!proxy.call(call).startsWith(firstWord)) {
+    private void callUntilAnswered(ProxyFixture proxy, String call, String firstWord) throws Exception {
+        while (!proxy.callOperator(call).startsWith(firstWord)) {
             Thread.onSpinWait();
         }
     }
 
     @Test
     void reportsTheSameReadinessAsToClients() throws Exception {
-        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> {
             if (event instanceof Arrival) {
                 actions.accept(new Watch(true));
             }
         }, temp, server); var client = proxy.client()) {
             callUntilAnswered(proxy, "readyz\n", "SUCCESS");
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(200);
-            assertThat(proxy.call("exclude s0\r\n")).startsWith("SUCCESS");
-            assertThat(proxy.call("readyz\n")).startsWith("FAILURE");
+            assertThat(proxy.callOperator("exclude s0\r\n")).startsWith("SUCCESS");
+            assertThat(proxy.callOperator("readyz\n")).startsWith("FAILURE");
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(503);
         }
     }
@@ -51,10 +51,10 @@
     @ValueSource(strings = {"\n", "reboot\n", "READYZ\n", "readyz now\n", "exclude\n", "exclude s0 s0\n", "exclude nobody\n",
         "include nobody\n", "include\n", "exclude s0\0\n", "exclude \u00ff\u00fe\n", "telemetry\n"})
     void rejectsInvalidCallsAndChangesNothing(String call) throws Exception {
-        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
-            assertThat(proxy.call(call)).matches("FAILURE [^\n]+\n");
-            assertThat(proxy.call("exclude " + "x".repeat(Exclusions.LONGEST_ID + 1) + "\n")).startsWith("FAILURE");
-            assertThat(proxy.call("exclude " + "x".repeat(5_000) + "\n")).startsWith("FAILURE");
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+            assertThat(proxy.callOperator(call)).matches("FAILURE [^\n]+\n");
+            assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.LONGEST_ID + 1) + "\n")).startsWith("FAILURE");
+            assertThat(proxy.callOperator("exclude " + "x".repeat(5_000) + "\n")).startsWith("FAILURE");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
             assertThat(temp).isEmptyDirectory();
         }
@@ -63,10 +63,10 @@
     /** A line that is cut off could name another server than the complete one, so it must not be carried out. */
     @Test
     void anIncompleteLineIsNotCarriedOut() throws Exception {
-        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server);
-                var halfClosed = proxy.door(); var silent = proxy.door(); var incomplete = proxy.door()) {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server);
+                var halfClosed = proxy.operatorConnection(); var silent = proxy.operatorConnection(); var incomplete = proxy.operatorConnection()) {
             incomplete.send("exclude s0");
-            halfClosed.send("exclude s0").endSending();
+            halfClosed.send("exclude s0").shutdownOutput();
             assertAnswer(halfClosed, "FAILURE");
             assertAnswer(silent, "FAILURE");
             assertAnswer(incomplete, "FAILURE");
@@ -77,15 +77,15 @@
     /** Silent callers must not use up the endpoint's connections. */
     @Test
     void silentCallersDoNotBlockTheNextOne() throws Exception {
-        var silent = new ArrayList<Wire>();
-        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
+        var silent = new ArrayList<RawConnection>();
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
             for (int i = 0; i < 4 * OperatorEndpoint.MAX_CALLERS; i++) {
-                silent.add(proxy.door());
+                silent.add(proxy.operatorConnection());
             }
-            assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
-            assertThat(silent.get(0).ended()).isTrue();
+            assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
+            assertThat(silent.get(0).awaitClose()).isTrue();
         } finally {
-            for (Wire wire : silent) {
+            for (RawConnection wire : silent) {
                 wire.close();
             }
         }
@@ -94,13 +94,13 @@
     /** One include undoes any number of excludes, and the module is notified of each change once. */
     @Test
     void notifiesTheModuleOnceAndStoresTheExclusion() throws Exception {
-        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
-            assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
-            assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+            assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
+            assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
             try (var files = Files.list(temp.resolve("excluded"))) {
                 assertThat(files).hasSize(1);
             }
-            assertThat(proxy.call("include s0\n")).startsWith("SUCCESS");
+            assertThat(proxy.callOperator("include s0\n")).startsWith("SUCCESS");
             assertThat(temp.resolve("excluded")).isEmptyDirectory();
             assertThat(proxy.events.stream().filter(e -> e instanceof Excluded || e instanceof Included))
                     .containsExactly(new Excluded("s0"), new Included("s0"));
@@ -113,15 +113,15 @@
      */
     @Test
     void aCallToOneProcessAppliesToTheOther() throws Exception {
-        try (var server = new Peer(); var oldProcess = Fixture.operated((event, actions) -> { }, temp, server)) {
-            assertThat(oldProcess.call("exclude s0\n")).startsWith("SUCCESS");
+        try (var server = new FakeServer(); var oldProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+            assertThat(oldProcess.callOperator("exclude s0\n")).startsWith("SUCCESS");
             Files.createFile(temp.resolve("excluded").resolve("not an exclusion~"));
-            try (var newProcess = Fixture.operated((event, actions) -> { }, temp, server)) {
-                assertThat(newProcess.next(Excluded.class)).isEqualTo(new Excluded("s0"));
-                assertThat(newProcess.call("include s0\n")).startsWith("SUCCESS");
-                assertThat(oldProcess.next(Included.class)).isEqualTo(new Included("s0"));
-                assertThat(oldProcess.call("exclude s0\n")).startsWith("SUCCESS");
-                assertThat(newProcess.next(Excluded.class)).isEqualTo(new Excluded("s0"));
+            try (var newProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+                assertThat(newProcess.nextEvent(Excluded.class)).isEqualTo(new Excluded("s0"));
+                assertThat(newProcess.callOperator("include s0\n")).startsWith("SUCCESS");
+                assertThat(oldProcess.nextEvent(Included.class)).isEqualTo(new Included("s0"));
+                assertThat(oldProcess.callOperator("exclude s0\n")).startsWith("SUCCESS");
+                assertThat(newProcess.nextEvent(Excluded.class)).isEqualTo(new Excluded("s0"));
             }
         }
     }
@@ -129,8 +129,8 @@
     @Test
     void anExclusionThatCannotBeStoredIsRejected() throws Exception {
         Files.createFile(temp.resolve("excluded"));
-        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> { }, temp, server)) {
-            assertThat(proxy.call("exclude s0\n")).startsWith("FAILURE");
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+            assertThat(proxy.callOperator("exclude s0\n")).startsWith("FAILURE");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
         }
     }
@@ -138,40 +138,40 @@
     /** As for a draining server: a request that has been sent may finish, and the module cannot send new ones. */
     @Test
     void noNewRequestIsSentToAnExcludedServer() throws Exception {
-        try (var server = new Peer(); var proxy = Fixture.operated((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             }
         }, temp, server); var one = proxy.client(); var two = proxy.client()) {
-            one.send(Fixture.get("r1"));
-            Wire attempt = server.accept();
+            one.send(ProxyFixture.get("r1"));
+            RawConnection attempt = server.accept();
             attempt.read();
-            assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
-            two.send(Fixture.get("r2"));
-            AttemptEnded refused = proxy.next(AttemptEnded.class);
+            assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
+            two.send(ProxyFixture.get("r2"));
+            AttemptEnded refused = proxy.nextEvent(AttemptEnded.class);
             assertThat(refused.id()).isEqualTo("r2");
             assertThat(refused.outcome()).isEqualTo(Outcome.NOT_SENT);
-            attempt.send(Peer.ok("done"));
+            attempt.send(FakeServer.okResponse("done"));
             assertThat(one.read().body()).isEqualTo("done");
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
     /** Uses the real balancing module with two servers, one of which is excluded and then included again. */
     @Test
     void theOtherServerServesDuringAnExclusion() throws Exception {
-        try (var excluded = new Peer(); var other = new Peer(); var proxy = Fixture.operated(null, temp, excluded, other);
+        try (var excluded = new FakeServer(); var other = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint(null, temp, excluded, other);
                 var client = proxy.client()) {
-            excluded.always(Peer.ok("excluded"));
-            other.always(Peer.ok("other"));
-            assertThat(proxy.call("exclude s0\n")).startsWith("SUCCESS");
+            excluded.answerAll(FakeServer.okResponse("excluded"));
+            other.answerAll(FakeServer.okResponse("other"));
+            assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
             for (int i = 0; i < 20; i++) {
-                assertThat(client.send(Fixture.get("a" + i)).read().body()).isEqualTo("other");
+                assertThat(client.send(ProxyFixture.get("a" + i)).read().body()).isEqualTo("other");
             }
-            assertThat(proxy.call("include s0\n")).startsWith("SUCCESS");
+            assertThat(proxy.callOperator("include s0\n")).startsWith("SUCCESS");
             var bodies = new ArrayList<String>();
             for (int i = 0; i < 200 && !bodies.contains("excluded"); i++) {
-                bodies.add(client.send(Fixture.get("b" + i)).read().body());
+                bodies.add(client.send(ProxyFixture.get("b" + i)).read().body());
             }
             assertThat(bodies).contains("excluded");
         }
--- a/proxy/src/test/java/walkpost/proxy/Fixture.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFixture.java
@@ -19,7 +19,7 @@
 import java.util.function.Function;
 
 /** A proxy on loopback, with a balancer that the test scripts. It records the events that the balancer gets. */
-final class Fixture implements Closeable {
+final class ProxyFixture implements Closeable {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"92094eb940cf389a",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
@@ -39,33 +39,33 @@
             """;
 
     final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-    final Peer discovery = new Peer();
+    final FakeServer discovery = new FakeServer();
     private final AtomicLong clockAdvanceNs = new AtomicLong();
     private final Serve serve;
     final InetSocketAddress address;
     private final InetSocketAddress operatorAddress;
 
     /** Stands in for the balancer: gets the events and orders actions. */
-    interface Module {
+    interface BalancerStub {
         void handle(Event event, Consumer<Action> actions);
     }
 
-    Fixture(Module balancer, Peer... servers) throws Exception {
+    ProxyFixture(ProxyFixture.BalancerStub balancer, FakeServer... servers) throws Exception {
         this(balancer, 1_024, 15_000_000, servers);
     }
 
-    Fixture(Module balancer, int socketLimit, long idleUs, Peer... servers) throws Exception {
+    ProxyFixture(ProxyFixture.BalancerStub balancer, int socketLimit, long idleUs, FakeServer... servers) throws Exception {
         this(settings -> (now, event, actions) -> balancer.handle(event, actions), socketLimit, idleUs, servers);
     }
 
     /** Starts a proxy with the balancer that it has in production. */
-    static Fixture inService(Peer... servers) throws Exception {
-        return new Fixture(Policy::new, 1_024, 15_000_000, servers);
+    static ProxyFixture withPolicy(FakeServer... servers) throws Exception {
+        return new ProxyFixture(Policy::new, 1_024, 15_000_000, servers);
     }
 
-    private Fixture(Function<Balancer.Settings, Balancer> factory, int socketLimit, long idleUs, Peer... servers)
+    private ProxyFixture(Function<Balancer.Settings, Balancer> factory, int socketLimit, long idleUs, FakeServer... servers)
             throws Exception {
-        this(factory, socketLimit, idleUs, new Surroundings(null, Path.of("/nonexistent"), null, null), servers);
+        this(factory, socketLimit, idleUs, new ProcessEnvironment(null, Path.of("/nonexistent"), null, null), servers);
     }
 
     /**
@@ -74,33 +74,33 @@
      * @param balancer the balancer of the test; null for the one in production
      * @param tempDir the directory that the proxy may write to
      */
-    static Fixture operated(Module balancer, Path tempDir, Peer... servers) throws Exception {
-        return sharing(null, balancer, tempDir, servers);
+    static ProxyFixture withOperatorEndpoint(ProxyFixture.BalancerStub balancer, Path tempDir, FakeServer... servers) throws Exception {
+        return withInheritedListener(null, balancer, tempDir, servers);
     }
 
-    /** Starts a proxy as {@link #operated} does, with a listening socket for clients that is not its own, unless that is null. */
-    static Fixture sharing(ServerSocketChannel listener, Module balancer, Path tempDir, Peer... servers) throws Exception {
+    /** Starts a proxy as {@link #withOperatorEndpoint} does, with a listening socket for clients that is not its own, unless that is null. */
+    static ProxyFixture withInheritedListener(ServerSocketChannel listener, ProxyFixture.BalancerStub balancer, Path tempDir, FakeServer... servers) throws Exception {
         return inFleet(null, listener, balancer, tempDir, servers);
     }
 
-    /** Starts a proxy as {@link #sharing} does, as a member of a fleet unless {@code fleet} is null. */
-    static Fixture inFleet(FleetLink.Opener fleet, ServerSocketChannel listener, Module balancer, Path tempDir, Peer... servers)
+    /** Starts a proxy as {@link #withInheritedListener} does, as a member of a fleet unless {@code fleet} is null. */
+    static ProxyFixture inFleet(ProxyFleetMember.Opener fleet, ServerSocketChannel listener, ProxyFixture.BalancerStub balancer, Path tempDir, FakeServer... servers)
             throws Exception {
-        return new Fixture(balancer == null ? Policy::new : settings -> (now, event, actions) -> balancer.handle(event, actions),
-                1_024, 15_000_000, new Surroundings(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), tempDir, listener, fleet),
+        return new ProxyFixture(balancer == null ? Policy::new : settings -> (now, event, actions) -> balancer.handle(event, actions),
+                1_024, 15_000_000, new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), tempDir, listener, fleet),
                 servers);
     }
 
-    private Fixture(Function<Balancer.Settings, Balancer> factory, int socketLimit, long idleUs, Surroundings environment,
-            Peer... servers) throws Exception {
+    private ProxyFixture(Function<Balancer.Settings, Balancer> factory, int socketLimit, long idleUs, ProcessEnvironment environment,
+            FakeServer... servers) throws Exception {
         var entries = new StringBuilder();
         for (int i = 0; i < servers.length; i++) {
-            entries.append(i == 0 ? "" : ",").append(entry("s" + i, servers[i].address(), "ready"));
+            entries.append(i == 0 ? "" : ",").append(serverEntry("s" + i, servers[i].address(), "ready"));
         }
         String json = CONFIG.formatted(discovery.address(), socketLimit, entries, idleUs);
         Config config = Config.parse(Config.JSON.readTree(json));
         Balancer balancer = factory.apply(config.settings());
-        serve = new Serve(config, environment, new Clock(() -> System.nanoTime() + clockAdvanceNs.get()), (now, event, actions) -> {
+        serve = new Serve(config, environment, new ProxyClock(() -> System.nanoTime() + clockAdvanceNs.get()), (now, event, actions) -> {
             events.add(event);
             balancer.handle(now, event, actions);
         });
@@ -114,23 +114,23 @@
     }
 
     /** Returns one server's entry of a server list, in JSON. */
-    static String entry(String id, String address, String state) {
+    static String serverEntry(String id, String address, String state) {
         return "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":1,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":7}"
                 .formatted(id, address, state);
     }
 
     /** Returns a server list of discovery, in JSON. */
-    static String list(long version, boolean full, String... entries) {
+    static String serverList(long version, boolean full, String... entries) {
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
     /** Returns a balancer that sends every request to one server, and fails the request if its attempt ends without an answer. */
-    static Module sendTo(String serverId) {
+    static ProxyFixture.BalancerStub sendTo(String serverId) {
         return sendTo(serverId, 0);
     }
 
     /** Returns the same with a timeout for each attempt; 0 for none. */
-    static Module sendTo(String serverId, long timeoutUs) {
+    static ProxyFixture.BalancerStub sendTo(String serverId, long timeoutUs) {
         return (event, actions) -> {
             if (event instanceof Balancer.Arrival arrival) {
                 actions.accept(new Balancer.Send(arrival.id(), serverId, timeoutUs));
@@ -154,26 +154,26 @@
     }
 
     /** Connects as a client. */
-    Wire client() throws IOException {
-        return Wire.to(address);
+    RawConnection client() throws IOException {
+        return RawConnection.connect(address);
     }
 
     /** Connects to the operator endpoint. */
-    Wire door() throws IOException {
-        return Wire.to(operatorAddress);
+    RawConnection operatorConnection() throws IOException {
+        return RawConnection.connect(operatorAddress);
     }
 
     /** Sends one command to the operator endpoint and returns the whole answer. */
-    String call(String line) throws IOException {
-        try (Wire connection = door()) {
-            return connection.send(line).rest();
+    String callOperator(String line) throws IOException {
+        try (RawConnection connection = operatorConnection()) {
+            return connection.send(line).readToEnd();
         }
     }
 
     /** Waits for the next event of a type, skips events of other types, and returns it. */
-    <T extends Event> T next(Class<T> type) throws InterruptedException {
+    <T extends Event> T nextEvent(Class<T> type) throws InterruptedException {
         while (true) {
-            Event event = Peer.next(events);
+            Event event = FakeServer.takeNext(events);
             if (type.isInstance(event)) {
                 return type.cast(event);
             }
@@ -181,7 +181,7 @@
     }
 
     /** Advances the proxy's clock. If called on the proxy's event loop, the loop seems to have been delayed for that time. */
-    void skip(Duration time) {
+    void advanceClock(Duration time) {
         clockAdvanceNs.addAndGet(time.toNanos());
     }
 
--- a/proxy/src/test/java/walkpost/proxy/Wire.java
+++ b/proxy/src/test/java/walkpost/proxy/RawConnection.java
@@ -15,24 +15,24 @@
  * A test's end of a TCP connection. Reads and writes HTTP messages as plain bytes, so that tests see exactly what is sent and when the
  * connection ends. Used by one thread at a time.
  */
-final class Wire implements Closeable {
+final class RawConnection implements Closeable {
     private static final int READ_TIMEOUT_MS = 10_000;
 
     final Socket socket;
     private final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    RawConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Wire to(InetSocketAddress address) throws IOException {
-        return new Wire(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
+    static RawConnection connect(InetSocketAddress address) throws IOException {
+        return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
     }
 
-    Wire send(String text) throws IOException {
+    RawConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
@@ -91,12 +91,12 @@
     }
 
     /** Reads all bytes until the other side ends the connection. */
-    String rest() throws IOException {
+    String readToEnd() throws IOException {
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
 
     /** Waits until the other side ends or resets the connection; returns whether it did so in time and without sending anything. */
-    boolean ended() throws IOException {
+    boolean awaitClose() throws IOException {
         try {
             return in.read() < 0;
         } catch (java.net.SocketTimeoutException e) {
@@ -107,7 +107,7 @@
     }
 
     /** Closes the output; input from the other side can still be read. */
-    void endSending() throws IOException {
+    void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
--- a/proxy/src/test/java/walkpost/proxy/RetuneTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ReconfigurationTest.java
@@ -1,12 +1,12 @@
 package walkpost.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
+import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Outcome;
-import walkpost.Balancer.Retuned;
 import walkpost.Balancer.Send;
+import walkpost.Balancer.SettingsChanged;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Files;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests how a running proxy reloads its configuration. */
-class RetuneTest {
+class ReconfigurationTest {
     private static final String READ = "{\"name\":\"read\",\"aim_us\":600000,\"deadline_us\":2000000,"
             + "\"effect\":\"idempotent\",\"value\":1,\"late_worth\":0}";
 
@@ -33,11 +33,11 @@
         return (ObjectNode) config.path("settings").path(name);
     }
 
-    private void reconfigure(Fixture proxy, String text) throws Exception {
+    private void reconfigure(ProxyFixture proxy, String text) throws Exception {
         proxy.reconfigure(Files.writeString(dir.resolve("config.json"), text));
     }
 
-    private static int status(Fixture proxy, String request) throws Exception {
+    private static int status(ProxyFixture proxy, String request) throws Exception {
         try (var client = proxy.client()) {
             return client.send(request).read().status();
         }
@@ -45,61 +45,61 @@
 
     @Test
     void addsRemovesAndChangesClasses() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
-            server.always(Peer.ok("made"));
-            String added = Fixture.get("r1").replace("read", "browse");
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server)) {
+            server.answerAll(FakeServer.okResponse("made"));
+            String added = ProxyFixture.get("r1").replace("read", "browse");
             assertThat(status(proxy, added)).isEqualTo(400);
-            ObjectNode config = Fixture.config();
+            ObjectNode config = ProxyFixture.config();
             classes(config).removeAll();
             classes(config).add(Config.JSON.readTree(READ.replace("read", "browse")));
             classes(config).add(Config.JSON.readTree(READ.replace("read", "pay")));
             reconfigure(proxy, config.toString());
-            assertThat(proxy.next(Retuned.class).settings().classes()).extracting("name").containsExactly("browse", "pay");
+            assertThat(proxy.nextEvent(Balancer.SettingsChanged.class).settings().classes()).extracting("name").containsExactly("browse", "pay");
             assertThat(status(proxy, added)).isEqualTo(200);
-            assertThat(status(proxy, Fixture.get("r2"))).isEqualTo(400);
-            assertThat(status(proxy, Fixture.post("r3", "x"))).isEqualTo(405);
-            assertThat(status(proxy, Fixture.get("r4").replace("read", "pay"))).isEqualTo(200);
+            assertThat(status(proxy, ProxyFixture.get("r2"))).isEqualTo(400);
+            assertThat(status(proxy, ProxyFixture.post("r3", "x"))).isEqualTo(405);
+            assertThat(status(proxy, ProxyFixture.get("r4").replace("read", "pay"))).isEqualTo(200);
         }
     }
 
     /** A request that was received, in whole or in part, before a reload keeps its old settings: here its class and its second attempt. */
     @Test
     void openRequestsKeepTheirSettings() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && e.outcome() == Outcome.ERROR) {
                 actions.accept(new Send(e.id(), "s0", 0));
             }
         }, server); var open = proxy.client(); var partial = proxy.client(); var later = proxy.client()) {
-            open.send(Fixture.get("r1"));
-            Wire attempt = server.accept();
+            open.send(ProxyFixture.get("r1"));
+            RawConnection attempt = server.accept();
             attempt.read();
             // The answer 100 shows that the proxy has read the head of the request.
-            partial.send(Fixture.post("r2", "body").replace("Content-Length", "Expect: 100-continue\r\nContent-Length")
+            partial.send(ProxyFixture.post("r2", "body").replace("Content-Length", "Expect: 100-continue\r\nContent-Length")
                     .replace("body", ""));
             assertThat(partial.readHead().first()).isEqualTo("HTTP/1.1 100 Continue");
-            ObjectNode config = Fixture.config();
+            ObjectNode config = ProxyFixture.config();
             classes(config).removeAll();
             classes(config).add(Config.JSON.readTree(READ));
             object(config, "bounds").put("most_tries", 1);
             reconfigure(proxy, config.toString());
-            proxy.next(Retuned.class);
-            attempt.send(Peer.answer("500 Error", "x"));
+            proxy.nextEvent(Balancer.SettingsChanged.class);
+            attempt.send(FakeServer.response("500 Error", "x"));
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r1");
-            attempt.send(Peer.ok("one"));
+            attempt.send(FakeServer.okResponse("one"));
             assertThat(open.read().body()).isEqualTo("one");
             partial.send("body");
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r2");
-            attempt.send(Peer.ok("two"));
+            attempt.send(FakeServer.okResponse("two"));
             assertThat(partial.read().body()).isEqualTo("two");
             // A request that comes in after the reload is allowed one attempt only.
-            later.send(Fixture.get("r3"));
+            later.send(ProxyFixture.get("r3"));
             attempt.read();
-            attempt.send(Peer.answer("500 Error", "x"));
-            AttemptEnded end = proxy.next(AttemptEnded.class);
+            attempt.send(FakeServer.response("500 Error", "x"));
+            AttemptEnded end = proxy.nextEvent(AttemptEnded.class);
             while (!end.id().equals("r3") || end.attempt() == 0) {
-                end = proxy.next(AttemptEnded.class);
+                end = proxy.nextEvent(AttemptEnded.class);
             }
             assertThat(end.outcome()).isEqualTo(Outcome.NOT_SENT);
         }
@@ -109,7 +109,7 @@
     @Test
     void anInvalidFileChangesNothing() throws Exception {
         var invalidFiles = new LinkedHashMap<String, String>();
-        ObjectNode valid = Fixture.config().put("discovery", "127.0.0.1:2");
+        ObjectNode valid = ProxyFixture.config().put("discovery", "127.0.0.1:2");
         classes(valid).add(Config.JSON.readTree(READ.replace("read", "browse")));
         String text = valid.toString();
         invalidFiles.put("empty", "");
@@ -125,7 +125,7 @@
             invalidFiles.put("attempts " + tries, text.replaceFirst("\"most_tries\":4", "\"most_tries\":" + tries));
         }
         invalidFiles.put("two classes with one name", text.replace("\"browse\"", "\"read\""));
-        for (String key : new ArrayList<>(Fixture.config().properties().stream().map(Map.Entry::getKey).toList())) {
+        for (String key : new ArrayList<>(ProxyFixture.config().properties().stream().map(Map.Entry::getKey).toList())) {
             if (!key.equals("known")) {
                 invalidFiles.put("without " + key, valid.deepCopy().without(key).toString());
             }
@@ -147,15 +147,15 @@
             ((ObjectNode) classes(without).path(0)).remove(e.getKey());
             invalidFiles.put("a class without " + e.getKey(), without.toString());
         });
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
-            server.always(Peer.ok("made"));
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server)) {
+            server.answerAll(FakeServer.okResponse("made"));
             for (var file : invalidFiles.entrySet()) {
                 reconfigure(proxy, file.getValue());
-                assertThat(status(proxy, Fixture.get("r1"))).as(file.getKey()).isEqualTo(200);
-                assertThat(proxy.events).as(file.getKey()).noneMatch(Retuned.class::isInstance);
+                assertThat(status(proxy, ProxyFixture.get("r1"))).as(file.getKey()).isEqualTo(200);
+                assertThat(proxy.events).as(file.getKey()).noneMatch(Balancer.SettingsChanged.class::isInstance);
             }
             reconfigure(proxy, text);
-            assertThat(proxy.next(Retuned.class).settings().classes()).hasSize(4);
+            assertThat(proxy.nextEvent(Balancer.SettingsChanged.class).settings().classes()).hasSize(4);
         }
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/Program.java
+++ b/proxy/src/test/java/walkpost/proxy/ServeProcess.java
@@ -13,18 +13,18 @@
 import java.util.regex.Pattern;
 
 /** A proxy in a process of its own, as the command {@code run} starts it. */
-final class Program implements Closeable {
+final class ServeProcess implements Closeable {
     /** The command line that starts a proxy with the classes under test. */
     static final List<String> SERVE = List.of(ProcessHandle.current().info().command().orElseThrow(), "-cp",
             System.getProperty("java.class.path"), "walkpost.proxy.Serve");
 
     private final Path configFile;
     private final Process process;
-    private final Output log;
+    private final ServeProcess.ProcessOutput log;
 
     /** The output of a process, which is read only as a test waits for lines. */
-    record Output(BufferedReader lines) {
-        Output(Process process) {
+    record ProcessOutput(BufferedReader lines) {
+        ProcessOutput(Process process) {
             this(process.inputReader());
         }
 
@@ -35,14 +35,14 @@
     }
 
     /** Starts a proxy with a directory of its own, which holds its configuration and the files that it writes. */
-    Program(Path dir, ObjectNode config) throws IOException {
+    ServeProcess(Path dir, ObjectNode config) throws IOException {
         this(dir, config, Map.of());
     }
 
     /** Starts a proxy with additional environment variables and with options for the JVM. */
-    Program(Path dir, ObjectNode config, Map<String, String> environment, String... jvmOptions) throws IOException {
+    ServeProcess(Path dir, ObjectNode config, Map<String, String> environment, String... jvmOptions) throws IOException {
         configFile = dir.resolve("config.json");
-        configure(config);
+        writeConfig(config);
         var words = new ArrayList<>(SERVE);
         words.addAll(1, List.of(jvmOptions));
         var command = new ProcessBuilder(words).redirectErrorStream(true);
@@ -50,16 +50,16 @@
         command.environment().put("PROXY_CONFIG", configFile.toString());
         command.environment().put("TMPDIR", dir.toString());
         process = command.start();
-        log = new Output(process);
+        log = new ServeProcess.ProcessOutput(process);
     }
 
     /** Writes the configuration file. */
-    void configure(ObjectNode config) throws IOException {
+    void writeConfig(ObjectNode config) throws IOException {
         Files.writeString(configFile, config.toString());
     }
 
     /** Waits for a line of the log in which a pattern is found. */
-    String line(String pattern) {
+    String waitForLine(String pattern) {
         return log.line(pattern);
     }
 
@@ -77,12 +77,12 @@
     }
 
     /** Waits for the end of the process and returns its exit status. */
-    int status() throws InterruptedException {
+    int exitStatus() throws InterruptedException {
         return process.waitFor();
     }
 
     /** Returns whether the process has ended. */
-    boolean ended() throws InterruptedException {
+    boolean hasEnded() throws InterruptedException {
         return process.waitFor(0, TimeUnit.SECONDS);
     }
 
--- a/proxy/src/test/java/walkpost/proxy/ServeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServeTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-
+import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.Fetch;
-import walkpost.Balancer.Members;
+import walkpost.Balancer.ListUpdate;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,18 +19,18 @@
     /** With the balancer that it has in production the proxy watches the server list, serves, retries on another server and refuses. */
     @Test
     void servesWithTheProductionBalancer() throws Exception {
-        var dead = new Peer();
+        var dead = new FakeServer();
         dead.close();
-        try (var server = new Peer(); var proxy = Fixture.inService(dead, server); var client = proxy.client()) {
-            server.always(Peer.ok("served"));
-            Wire call = proxy.discovery.accept();
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withPolicy(dead, server); var client = proxy.client()) {
+            server.answerAll(FakeServer.okResponse("served"));
+            RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).contains("from=41&hold_ms=0");
             for (int i = 0; i < 10; i++) {
-                assertThat(client.send(Fixture.post("r" + i, "pay")).read().body()).isEqualTo("served");
+                assertThat(client.send(ProxyFixture.post("r" + i, "pay")).read().body()).isEqualTo("served");
             }
-            call.send(Peer.ok(Fixture.list(42, true)));
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true)));
             proxy.discovery.accept().read();
-            Wire.Message answer = client.send(Fixture.get("none")).read();
+            RawConnection.Message answer = client.send(ProxyFixture.get("none")).read();
             assertThat(answer.status()).isEqualTo(503);
             assertThat(answer.header("Retry-After")).matches("[01]\\.[0-9]{3}");
         }
@@ -40,47 +40,47 @@
     @Test
     void answersAllAcceptedRequestsBeforeItEnds() throws Exception {
         var fetched = new AtomicBoolean();
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (!fetched.getAndSet(true)) {
                 actions.accept(new Fetch());
             }
-            Fixture.sendTo("s0").handle(event, actions);
+            ProxyFixture.sendTo("s0").handle(event, actions);
         }, server); var busy = proxy.client(); var idle = proxy.client(); var used = proxy.client()) {
-            proxy.discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "ready"))));
-            proxy.next(Members.class);
-            proxy.next(Members.class);
+            proxy.discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", server.address(), "ready"))));
+            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(used.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(200);
-            busy.send(Fixture.get("r1"));
-            Wire slow = server.accept();
+            busy.send(ProxyFixture.get("r1"));
+            RawConnection slow = server.accept();
             slow.read();
             idle.send("GET /other HTTP/1.1\r\n\r\n").read();
             used.send("GET /other HTTP/1.1\r\n\r\n").read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
-            Wire.Message answer = used.send("GET /ready HTTP/1.1\r\n\r\n").read();
+            RawConnection.Message answer = used.send("GET /ready HTTP/1.1\r\n\r\n").read();
             while (answer.status() == 200) {
                 answer = used.send("GET /ready HTTP/1.1\r\n\r\n").read();
             }
             assertThat(answer.header("Connection")).isNull();
             // The shutdown has begun. The proxy still serves the clients that it has and those that the front still sends.
             try (var late = proxy.client()) {
-                late.send(Fixture.get("r2"));
-                Wire attempt = server.accept();
+                late.send(ProxyFixture.get("r2"));
+                RawConnection attempt = server.accept();
                 attempt.read();
-                attempt.send(Peer.ok("late"));
+                attempt.send(FakeServer.okResponse("late"));
                 assertThat(late.read().body()).isEqualTo("late");
             }
-            slow.send(Peer.ok("slow"));
+            slow.send(FakeServer.okResponse("slow"));
             assertThat(busy.read().body()).isEqualTo("slow");
             // A request whose deadline is after the end of the process is answered before the end.
-            used.send(Fixture.get("r3").replace("1900m", "9000m"));
+            used.send(ProxyFixture.get("r3").replace("1900m", "9000m"));
             assertThat(slow.read().header("X-Request-ID")).isEqualTo("r3");
-            assertThat(idle.ended()).isTrue();
+            assertThat(idle.awaitClose()).isTrue();
             assertThatThrownBy(proxy::client).isInstanceOf(IOException.class);
             assertThat(drained).isNotDone();
             answer = used.read();
             assertThat(answer.status()).isEqualTo(502);
             assertThat(answer.header("Connection")).isEqualTo("close");
-            assertThat(used.ended()).isTrue();
+            assertThat(used.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
         }
     }
@@ -88,18 +88,18 @@
     /** Guards against failed requests when there are more clients than connections: the proxy closes idle connections to make room. */
     @Test
     void closesIdleConnectionsToMakeRoom() throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, server)) {
-            server.always(Peer.ok("x"));
+        var clients = new ArrayList<RawConnection>();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 128, 15_000_000, server)) {
+            server.answerAll(FakeServer.okResponse("x"));
             for (int i = 0; i < 200; i++) {
-                Wire client = proxy.client();
+                RawConnection client = proxy.client();
                 clients.add(client);
-                assertThat(client.send(Fixture.get("r" + i)).read().status()).isEqualTo(200);
+                assertThat(client.send(ProxyFixture.get("r" + i)).read().status()).isEqualTo(200);
             }
-            assertThat(clients.get(0).ended()).isTrue();
-            assertThat(clients.get(199).send(Fixture.get("again")).read().status()).isEqualTo(200);
+            assertThat(clients.get(0).awaitClose()).isTrue();
+            assertThat(clients.get(199).send(ProxyFixture.get("again")).read().status()).isEqualTo(200);
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
@@ -108,25 +108,25 @@
     /** Guards against a client that is never accepted: if all connections are busy, it waits until there is room again. */
     @Test
     void acceptsAWaitingClientOnceThereIsRoom() throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        var clients = new ArrayList<RawConnection>();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().startsWith("last")) {
-                Fixture.sendTo("s0").handle(event, actions);
+                ProxyFixture.sendTo("s0").handle(event, actions);
             }
         }, 128, 15_000_000, server)) {
-            server.always(Peer.ok("x"));
+            server.answerAll(FakeServer.okResponse("x"));
             for (int i = 0; i < 60; i++) {
-                clients.add(proxy.client().send(Fixture.get("r" + i)));
+                clients.add(proxy.client().send(ProxyFixture.get("r" + i)));
             }
-            Wire last = proxy.client().send(Fixture.get("last"));
+            RawConnection last = proxy.client().send(ProxyFixture.get("last"));
             clients.add(last);
             // The balancer never answers the other requests. The proxy fails them after their deadlines, which makes room.
             assertThat(last.read()).isNotNull();
-            for (Wire client : List.copyOf(clients).subList(0, 20)) {
+            for (RawConnection client : List.copyOf(clients).subList(0, 20)) {
                 assertThat(client.read().status()).isEqualTo(502);
             }
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
--- a/proxy/src/test/java/walkpost/proxy/ServerConnectionsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServerConnectionsTest.java
@@ -29,10 +29,10 @@
         "503 Unavailable,X-Not-Processed: 0,ERROR", "504 Late,X-Other: 1,ERROR", "500 Error,X-Not-Processed: 1,ERROR",
         "404 Unknown,X-Other: 1,ERROR", "200 OK,X-Not-Processed: 1,OK"})
     void mapsResponsesToOutcomes(String status, String header, Outcome outcome) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            backend.always(Peer.answer(status, "x", header));
-            client.send(Fixture.get("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(outcome);
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+            backend.answerAll(FakeServer.response(status, "x", header));
+            client.send(ProxyFixture.get("r1"));
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(outcome);
             assertThat(client.read().status()).isEqualTo(outcome == Outcome.OK ? 200 : 502);
         }
     }
@@ -41,24 +41,24 @@
     @CsvSource({"''", "HTTP/1.1 200 OK\r\nContent-Le", "'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'",
         "'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'"})
     void reportsAResetIfTheConnectionBreaksAfterTheLastByte(String partOfResponse) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            try (Wire attempt = backend.accept()) {
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            try (RawConnection attempt = backend.accept()) {
                 attempt.read();
                 attempt.send(partOfResponse);
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
 
     @Test
     void reportsConnectFailedIfTheConnectionIsRefused() throws Exception {
-        var backend = new Peer();
+        var backend = new FakeServer();
         backend.close();
-        try (var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.CONNECT_FAILED);
+        try (var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.CONNECT_FAILED);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -74,14 +74,14 @@
         "HTTP/2.7 200 OK\r\nContent-Length: 4\r\n\r\nmade",
         "HTTP/1.1 101 Other\r\nConnection: upgrade\r\nUpgrade: other\r\n\r\n"})
     void reportsAnErrorAndClosesTheConnectionAfterAMalformedResponse(String malformed) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
-            attempt.send(malformed + Peer.ok("not asked for"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.ERROR);
+            attempt.send(malformed + FakeServer.okResponse("not asked for"));
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
@@ -90,25 +90,25 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nmade",
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade"})
     void passesOnUnusualButValidResponses(String unusual) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            backend.always(unusual);
-            assertThat(client.send(Fixture.get("r1")).read().body()).isEqualTo("made");
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+            backend.answerAll(unusual);
+            assertThat(client.send(ProxyFixture.get("r1")).read().body()).isEqualTo("made");
         }
     }
 
     @Test
     void doesNotUseASecondResponseForTheNextRequest() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
-            attempt.send(Peer.ok("one") + Peer.ok("two"));
+            attempt.send(FakeServer.okResponse("one") + FakeServer.okResponse("two"));
             assertThat(client.read().body()).isEqualTo("one");
-            assertThat(attempt.ended()).isTrue();
-            client.send(Fixture.get("r2"));
-            Wire next = backend.accept();
+            assertThat(attempt.awaitClose()).isTrue();
+            client.send(ProxyFixture.get("r2"));
+            RawConnection next = backend.accept();
             next.read();
-            next.send(Peer.ok("three"));
+            next.send(FakeServer.okResponse("three"));
             assertThat(client.read().body()).isEqualTo("three");
         }
     }
@@ -120,7 +120,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade", "HTTP/1.1 200 OK\r\nConte", "made"})
     void doesNotUseBytesAfterAResponseForAQueuedRequest(String trailing) throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             boolean first = event instanceof Arrival a && a.id().equals("r1");
             if (first || event instanceof AttemptEnded e && e.id().equals("r1")) {
                 actions.accept(new Send(first ? "r1" : "r2", "s0", 0));
@@ -128,72 +128,72 @@
                 actions.accept(new Fail(e.id()));
             }
         }, backend); var one = proxy.client(); var two = proxy.client()) {
-            one.send(Fixture.get("r1"));
-            Wire first = backend.accept();
+            one.send(ProxyFixture.get("r1"));
+            RawConnection first = backend.accept();
             first.read();
-            proxy.next(Arrival.class);
-            two.send(Fixture.get("r2"));
-            proxy.next(Arrival.class);
-            first.send(Peer.ok("one") + trailing);
+            proxy.nextEvent(Arrival.class);
+            two.send(ProxyFixture.get("r2"));
+            proxy.nextEvent(Arrival.class);
+            first.send(FakeServer.okResponse("one") + trailing);
             assertThat(one.read().body()).isEqualTo("one");
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.ok("two"));
+            BlockingQueue<RawConnection.Message> seen = backend.answerAll(FakeServer.okResponse("two"));
             assertThat(two.read().body()).isEqualTo("two");
-            assertThat(Peer.next(seen).header("X-Request-ID")).isEqualTo("r2");
-            assertThat(first.ended()).isTrue();
+            assertThat(FakeServer.takeNext(seen).header("X-Request-ID")).isEqualTo("r2");
+            assertThat(first.awaitClose()).isTrue();
         }
     }
 
     @Test
     void readsOnlyTheHeadOfALongResponseOtherThan200() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), backend); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
             attempt.send("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 70000\r\n\r\n");
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.FULL);
-            assertThat(attempt.ended()).isTrue();
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.FULL);
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
     /** Only one attempt may be in progress: the connection of one that timed out is closed before the next one starts. */
     @Test
     void closesTheConnectionOfATimedOutAttemptBeforeTheNextAttempt() throws Exception {
-        try (var slow = new Peer(); var other = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var slow = new FakeServer(); var other = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 50_000));
             } else if (event instanceof AttemptEnded e && e.outcome() == Outcome.TIMEOUT) {
                 actions.accept(new Send(e.id(), "s1", 0));
             }
         }, slow, other); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire first = slow.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = slow.accept();
             first.read();
-            Wire second = other.accept();
+            RawConnection second = other.accept();
             second.read();
-            assertThat(first.ended()).isTrue();
-            second.send(Peer.ok("x"));
+            assertThat(first.awaitClose()).isTrue();
+            second.send(FakeServer.okResponse("x"));
             assertThat(client.read().status()).isEqualTo(200);
         }
     }
 
     @Test
     void reusesConnectionsUntilTheyAreReleased() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("r3")) {
                 actions.accept(new Release("s0"));
             }
-            Fixture.sendTo("s0").handle(event, actions);
+            ProxyFixture.sendTo("s0").handle(event, actions);
         }, backend); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire first = backend.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = backend.accept();
             for (String next : List.of("r2", "r3")) {
                 first.read();
-                first.send(Peer.ok("x"));
+                first.send(FakeServer.okResponse("x"));
                 assertThat(client.read().status()).isEqualTo(200);
-                client.send(Fixture.get(next));
+                client.send(ProxyFixture.get(next));
             }
-            assertThat(first.ended()).isTrue();
-            Wire second = backend.accept();
+            assertThat(first.awaitClose()).isTrue();
+            RawConnection second = backend.accept();
             assertThat(second.read().header("X-Request-ID")).isEqualTo("r3");
         }
     }
@@ -201,33 +201,33 @@
     /** A request that crosses the server's close of an idle connection may have run, so this side must close the connection first. */
     @Test
     void closesIdleConnectionsBeforeTheServerDoes() throws Exception {
-        try (var backend = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), 1_024, 500_000, backend);
+        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 1_024, 500_000, backend);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = backend.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
-            attempt.send(Peer.ok("x"));
+            attempt.send(FakeServer.okResponse("x"));
             client.read();
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
     /** Rule 3 counts a send from its first byte, so an attempt that still waits for its connection must not be sent after a drain. */
     @Test
     void aDrainStopsAttemptsThatAreStillConnecting() throws Exception {
-        try (var full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); var backend = new Peer();
-                var proxy = new Fixture(watching("s1"), backend); var client = proxy.client()) {
+        try (var full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); var backend = new FakeServer();
+                var proxy = new ProxyFixture(watching("s1"), backend); var client = proxy.client()) {
             List<Socket> queued = fillAcceptQueue(full);
             String address = "127.0.0.1:" + full.getLocalPort();
-            Wire watch = proxy.discovery.accept();
+            RawConnection watch = proxy.discovery.accept();
             watch.read();
-            watch.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s1", address, "ready"))));
-            Wire next = proxy.discovery.accept();
+            watch.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s1", address, "ready"))));
+            RawConnection next = proxy.discovery.accept();
             next.read();
-            client.send(Fixture.get("r1"));
-            proxy.next(Arrival.class);
-            next.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s1", address, "draining"))));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
+            client.send(ProxyFixture.get("r1"));
+            proxy.nextEvent(Arrival.class);
+            next.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s1", address, "draining"))));
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
             for (Socket socket : queued) {
                 socket.close();
@@ -235,33 +235,33 @@
         }
     }
 
-    private static Fixture.Module watching(String server) {
+    private static ProxyFixture.BalancerStub watching(String server) {
         var watchRequested = new boolean[1];
         return (event, actions) -> {
             if (!watchRequested[0]) {
                 watchRequested[0] = true;
                 actions.accept(new Watch(true));
             }
-            Fixture.sendTo(server).handle(event, actions);
+            ProxyFixture.sendTo(server).handle(event, actions);
         };
     }
 
     /** A server is identified by its id, not by its address: connections kept open to its old address must not be used again. */
     @Test
     void followsAServerToItsNewAddress() throws Exception {
-        try (var old = new Peer(); var moved = new Peer(); var proxy = new Fixture(watching("s0"), 1_024, 60_000_000, old);
+        try (var old = new FakeServer(); var moved = new FakeServer(); var proxy = new ProxyFixture(watching("s0"), 1_024, 60_000_000, old);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = old.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = old.accept();
             attempt.read();
-            attempt.send(Peer.ok("old"));
+            attempt.send(FakeServer.okResponse("old"));
             assertThat(client.read().body()).isEqualTo("old");
-            Wire watch = proxy.discovery.accept();
+            RawConnection watch = proxy.discovery.accept();
             watch.read();
-            watch.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s0", moved.address(), "ready"))));
-            assertThat(attempt.ended()).isTrue();
-            moved.always(Peer.ok("new"));
-            assertThat(client.send(Fixture.get("r2")).read().body()).isEqualTo("new");
+            watch.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s0", moved.address(), "ready"))));
+            assertThat(attempt.awaitClose()).isTrue();
+            moved.answerAll(FakeServer.okResponse("new"));
+            assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("new");
         }
     }
 
--- a/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
@@ -24,16 +24,16 @@
 class ShutdownTest {
     @TempDir
     private Path tempDir;
-    private Peer server;
-    private Peer discovery;
+    private FakeServer server;
+    private FakeServer discovery;
     private Serve serve;
 
     @BeforeEach
     void start() throws Exception {
-        server = new Peer();
-        discovery = new Peer();
-        serve = new Serve(Config.parse(config(100_000)), new Surroundings(null, tempDir, null, null),
-                (now, event, actions) -> Fixture.sendTo("s0").handle(event, actions));
+        server = new FakeServer();
+        discovery = new FakeServer();
+        serve = new Serve(Config.parse(config(100_000)), new ProcessEnvironment(null, tempDir, null, null),
+                (now, event, actions) -> ProxyFixture.sendTo("s0").handle(event, actions));
         serve.start();
     }
 
@@ -60,11 +60,11 @@
     @Test
     void idleClientsStayConnectedUntilTheListenerCloses() throws Exception {
         InetSocketAddress address = serve.listen();
-        try (var idle = Wire.to(address)) {
+        try (var idle = RawConnection.connect(address)) {
             idle.send("GET /other HTTP/1.1\r\n\r\n").read();
             CompletableFuture<Void> drained = drain();
-            assertThat(idle.ended()).isTrue();
-            assertThatThrownBy(() -> Wire.to(address)).isInstanceOf(IOException.class);
+            assertThat(idle.awaitClose()).isTrue();
+            assertThatThrownBy(() -> RawConnection.connect(address)).isInstanceOf(IOException.class);
             drained.get(10, TimeUnit.SECONDS);
         }
     }
@@ -72,16 +72,16 @@
     /** A request from before the signal, with a deadline after the end of the process, is answered before the end. */
     @Test
     void answersAnEarlierRequestBeforeTheEnd() throws Exception {
-        try (var client = Wire.to(serve.listen())) {
-            client.send(Fixture.get("r1").replace("1900m", "9000m"));
+        try (var client = RawConnection.connect(serve.listen())) {
+            client.send(ProxyFixture.get("r1").replace("1900m", "9000m"));
             server.accept().read();
             drain().get(10, TimeUnit.SECONDS);
             // The process would end here, so the answer must have been written.
             serve.stop();
-            Wire.Message answer = client.read();
+            RawConnection.Message answer = client.read();
             assertThat(answer.status()).isEqualTo(502);
             assertThat(answer.header("Connection")).isEqualTo("close");
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 
@@ -95,13 +95,13 @@
     /** Neither a valid nor an invalid file makes the shutdown take longer or fail. */
     @Test
     void aReloadDoesNotChangeTheShutdown() throws Exception {
-        try (var client = Wire.to(serve.listen())) {
+        try (var client = RawConnection.connect(serve.listen())) {
             CompletableFuture<Void> drained = drain();
             serve.reconfigure(Files.writeString(tempDir.resolve("good"), config(60_000_000).toString()));
             serve.reconfigure(Files.writeString(tempDir.resolve("bad"), "{"));
-            client.send(Fixture.get("r1").replace("1900m", "9000m"));
+            client.send(ProxyFixture.get("r1").replace("1900m", "9000m"));
             assertThat(client.read().status()).isEqualTo(502);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
         }
     }
@@ -109,20 +109,20 @@
     /** Repeated signals neither delay the end nor bring it forward. */
     @Test
     void furtherSignalsDoNotChangeTheShutdown(@TempDir Path dir) throws Exception {
-        try (var program = new Program(dir, config(100_000))) {
-            String listening = program.line("listening proxy");
+        try (var program = new ServeProcess(dir, config(100_000))) {
+            String listening = program.waitForLine("listening proxy");
             int port = Integer.parseInt(listening.replaceAll(".*port=", ""));
-            try (var client = Wire.to(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
-                client.send(Fixture.get("r1").replace("1900m", "9000m"));
+            try (var client = RawConnection.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
+                client.send(ProxyFixture.get("r1").replace("1900m", "9000m"));
                 server.accept().read();
                 program.signal("TERM");
-                program.line("draining");
+                program.waitForLine("draining");
                 program.signal("TERM");
                 program.signal("HUP");
                 assertThat(client.read().status()).isGreaterThanOrEqualTo(500);
-                assertThat(client.ended()).isTrue();
+                assertThat(client.awaitClose()).isTrue();
                 assertThat(program.linesUpTo("drained|ends_with_clients")).noneMatch(line -> line.contains("draining"));
-                assertThat(program.status()).isZero();
+                assertThat(program.exitStatus()).isZero();
             }
         }
     }
@@ -130,22 +130,22 @@
     /** Guards against clients that the system resets, because they wait in the queue of the listening socket when it is closed. */
     @Test
     void servesTheQueuedClientsBeforeTheEnd() throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var fixtureServer = new Peer(); var proxy = new Fixture((event, actions) -> {
+        var clients = new ArrayList<RawConnection>();
+        try (var fixtureServer = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("last")) {
-                Fixture.sendTo("s0").handle(event, actions);
+                ProxyFixture.sendTo("s0").handle(event, actions);
             }
         }, 128, 15_000_000, fixtureServer)) {
-            fixtureServer.always(Peer.ok("x"));
+            fixtureServer.answerAll(FakeServer.okResponse("x"));
             for (int i = 0; i < 20; i++) {
-                clients.add(proxy.client().send(Fixture.get("r" + i).replace("1900m", "60000m")));
-                proxy.next(Arrival.class);
+                clients.add(proxy.client().send(ProxyFixture.get("r" + i).replace("1900m", "60000m")));
+                proxy.nextEvent(Arrival.class);
             }
-            clients.add(proxy.client().send(Fixture.get("last")));
+            clients.add(proxy.client().send(ProxyFixture.get("last")));
             CompletableFuture.runAsync(proxy::drain);
             assertThat(clients.get(20).read().body()).isEqualTo("x");
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
@@ -154,26 +154,26 @@
     /** Guards against a connection that is closed after an answer although part of the next request has been read. */
     @Test
     void answersAPartlyReadRequestBeforeItsConnectionEnds() throws Exception {
-        try (var fixtureServer = new Peer();
+        try (var fixtureServer = new FakeServer();
                 var socket = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                var proxy = Fixture.sharing(socket, Fixture.sendTo("s0"), tempDir, fixtureServer); var client = proxy.client()) {
-            String second = Fixture.get("r2");
-            client.send(Fixture.get("r1") + second.substring(0, 10));
-            Wire attempt = fixtureServer.accept();
+                var proxy = ProxyFixture.withInheritedListener(socket, ProxyFixture.sendTo("s0"), tempDir, fixtureServer); var client = proxy.client()) {
+            String second = ProxyFixture.get("r2");
+            client.send(ProxyFixture.get("r1") + second.substring(0, 10));
+            RawConnection attempt = fixtureServer.accept();
             attempt.read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             while (socket.isOpen()) {
                 Thread.onSpinWait();
             }
-            attempt.send(Peer.ok("one"));
+            attempt.send(FakeServer.okResponse("one"));
             assertThat(client.read().body()).isEqualTo("one");
             client.send(second.substring(10));
             attempt.read();
-            attempt.send(Peer.ok("two"));
-            Wire.Message answer = client.read();
+            attempt.send(FakeServer.okResponse("two"));
+            RawConnection.Message answer = client.read();
             assertThat(answer.body()).isEqualTo("two");
             assertThat(answer.header("Connection")).isEqualTo("close");
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
         }
     }
--- a/proxy/src/test/java/walkpost/proxy/Platform.java
+++ b/proxy/src/test/java/walkpost/proxy/SocketActivator.java
@@ -15,7 +15,7 @@
  * pass a socket on, so a few lines of Perl, which is part of every Debian system, hold the socket and start a proxy for each line
  * that they read.
  */
-final class Platform implements Closeable {
+final class SocketActivator implements Closeable {
     private static final String SOCKET_HOLDER = """
             use Socket;
             $| = 1;
@@ -33,34 +33,34 @@
             """;
 
     private final Process process;
-    private final Program.Output output;
+    private final ServeProcess.ProcessOutput output;
     private final InetSocketAddress address;
 
-    Platform(Path dir, ObjectNode config) throws IOException {
+    SocketActivator(Path dir, ObjectNode config) throws IOException {
         this(dir, config, Map.of());
     }
 
     /** Opens the socket. {@code environment} is added to the environment of every proxy. */
-    Platform(Path dir, ObjectNode config, Map<String, String> environment) throws IOException {
+    SocketActivator(Path dir, ObjectNode config, Map<String, String> environment) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config.toString());
         var command = new ProcessBuilder("perl", "-e", SOCKET_HOLDER);
-        command.command().addAll(Program.SERVE);
+        command.command().addAll(ServeProcess.SERVE);
         command.redirectErrorStream(true).environment().putAll(Map.of("PROXY_CONFIG", file.toString(),
                 "TMPDIR", dir.toString(), "PROXY_LISTEN_FD", "0"));
         command.environment().putAll(environment);
         process = command.start();
-        output = new Program.Output(process);
+        output = new ServeProcess.ProcessOutput(process);
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(),
                 Integer.parseInt(output.line("^port ").substring("port ".length())));
     }
 
     /** Starts one more proxy. */
-    void start() throws IOException {
+    void startProxy() throws IOException {
         send("start");
     }
 
     /** Sends SIGTERM to the proxy that was started first of those that have not got it yet. */
-    void endFirst() throws IOException {
+    void terminateOldest() throws IOException {
         send("end");
     }
 
@@ -70,13 +70,13 @@
     }
 
     /** Waits for a log line of any proxy in which a pattern is found. */
-    String line(String pattern) {
+    String waitForLine(String pattern) {
         return output.line(pattern);
     }
 
     /** Connects to the socket as a client. */
-    Wire client() throws IOException {
-        return Wire.to(address);
+    RawConnection client() throws IOException {
+        return RawConnection.connect(address);
     }
 
     @Override
--- a/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-
+import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Fail;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Refuse;
-import walkpost.Balancer.RequestSending;
-import walkpost.Balancer.RequestSent;
+import walkpost.Balancer.RequestStreamEnded;
+import walkpost.Balancer.RequestStreamStarted;
+import walkpost.Balancer.ResponseStreamStarted;
 import walkpost.Balancer.Send;
-import walkpost.Balancer.StreamStarted;
 import java.io.IOException;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
@@ -34,11 +34,11 @@
     }
 
     private static String chunkedPost(String id) {
-        return Fixture.post(id, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+        return ProxyFixture.post(id, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     }
 
     /** Sends from another thread, because back-pressure may block the sender. */
-    private static void sendInBackground(Wire wire, String text) {
+    private static void sendInBackground(RawConnection wire, String text) {
         CompletableFuture.runAsync(() -> {
             try {
                 wire.send(text);
@@ -50,69 +50,69 @@
 
     @Test
     void relaysALongRequestAndStartsItsDeadlineAtItsEnd() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
-            sendInBackground(client, Fixture.post("r1", LONG));
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            sendInBackground(client, ProxyFixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
-            Wire.Message request = Peer.next(seen);
+            RawConnection.Message request = FakeServer.takeNext(seen);
             assertThat(request.body()).isEqualTo(LONG);
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
-            assertThat(proxy.next(RequestSending.class)).isEqualTo(new RequestSending("r1", 0));
-            assertThat(proxy.next(RequestSent.class).leftUs()).isBetween(1_000_000L, 1_900_000L);
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
+            assertThat(proxy.nextEvent(Balancer.RequestStreamStarted.class)).isEqualTo(new Balancer.RequestStreamStarted("r1", 0));
+            assertThat(proxy.nextEvent(Balancer.RequestStreamEnded.class).leftUs()).isBetween(1_000_000L, 1_900_000L);
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
             // The connections stay usable.
-            assertThat(client.send(Fixture.get("r2")).read().body()).isEqualTo("made");
+            assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("made");
         }
     }
 
     @Test
     void relaysALongRequestOfUnknownLengthWithItsTrailers() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
             sendInBackground(client, chunkedPost("r1") + chunked(LONG, "X-Sum: 7\r\n"));
-            Wire attempt = server.accept();
-            Wire.Message request = attempt.readChunked();
+            RawConnection attempt = server.accept();
+            RawConnection.Message request = attempt.readChunked();
             assertThat(request.body()).isEqualTo(LONG);
             assertThat(request.header("X-Sum")).isEqualTo("7");
-            attempt.send(Peer.ok("made"));
+            attempt.send(FakeServer.okResponse("made"));
             assertThat(client.read().body()).isEqualTo("made");
         }
     }
 
     @Test
     void relaysALongResponseAndReportsItsStart() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = server.accept();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = server.accept();
             attempt.read();
             attempt.send("HTTP/1.1 200 OK\r\nContent-Length: " + LONG.length() + "\r\n\r\n" + LONG.charAt(0));
-            assertThat(proxy.next(StreamStarted.class)).isEqualTo(new StreamStarted("r1", 0));
+            assertThat(proxy.nextEvent(Balancer.ResponseStreamStarted.class)).isEqualTo(new Balancer.ResponseStreamStarted("r1", 0));
             sendInBackground(attempt, LONG.substring(1));
             assertThat(client.read().body()).isEqualTo(LONG);
-            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            AttemptEnded ended = proxy.nextEvent(AttemptEnded.class);
             assertThat(ended.outcome()).isEqualTo(Outcome.OK);
             assertThat(ended.last()).isTrue();
-            client.send(Fixture.get("r2"));
+            client.send(ProxyFixture.get("r2"));
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r2");
         }
     }
 
     @Test
     void relaysALongResponseOfUnknownLengthWithItsTrailers() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            server.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, "X-Sum: 7\r\n"));
-            Wire.Message response = client.send(Fixture.get("r1")).readChunked();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            server.answerAll("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, "X-Sum: 7\r\n"));
+            RawConnection.Message response = client.send(ProxyFixture.get("r1")).readChunked();
             assertThat(response.body()).isEqualTo(LONG);
             assertThat(response.header("X-Sum")).isEqualTo("7");
-            assertThat(client.send(Fixture.get("r2")).readChunked().body()).isEqualTo(LONG);
+            assertThat(client.send(ProxyFixture.get("r2")).readChunked().body()).isEqualTo(LONG);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aResponseMayEndWithItsConnection(boolean isLong) throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            try (Wire attempt = server.accept()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            try (RawConnection attempt = server.accept()) {
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\n\r\n" + (isLong ? LONG : "made"));
             }
@@ -123,10 +123,10 @@
     /** HTTP/1.0 has no chunked coding, so the close of the connection ends such a response. */
     @Test
     void anHttp10ClientGetsALongResponseWithoutChunks() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            server.always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, ""));
-            client.send(Fixture.get("r1").replace("HTTP/1.1", "HTTP/1.0"));
-            String response = client.rest();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            server.answerAll("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, ""));
+            client.send(ProxyFixture.get("r1").replace("HTTP/1.1", "HTTP/1.0"));
+            String response = client.readToEnd();
             assertThat(response).doesNotContainIgnoringCase("transfer-encoding").endsWith("\r\n\r\n" + LONG);
         }
     }
@@ -135,14 +135,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 640000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n4e200\r\n"})
     void aTruncatedLongResponseIsNotCompleteForTheClient(String framing) throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            try (Wire attempt = server.accept()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            try (RawConnection attempt = server.accept()) {
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\n" + framing + HALF);
-                proxy.next(StreamStarted.class);
+                proxy.nextEvent(Balancer.ResponseStreamStarted.class);
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
             if (framing.startsWith("C")) {
                 assertThatThrownBy(client::read).isInstanceOf(IOException.class);
             } else {
@@ -154,42 +154,42 @@
     /** The proxy stops receiving a response whose client has gone, so that the server is not kept busy with it. */
     @Test
     void aClientThatLeavesDuringALongResponseCancelsTheAttempt() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server)) {
-            Wire attempt;
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server)) {
+            RawConnection attempt;
             try (var client = proxy.client()) {
-                client.send(Fixture.get("r1"));
+                client.send(ProxyFixture.get("r1"));
                 attempt = server.accept();
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\nContent-Length: 640000\r\n\r\n" + HALF);
-                proxy.next(StreamStarted.class);
+                proxy.nextEvent(Balancer.ResponseStreamStarted.class);
             }
-            assertThat(attempt.ended()).isTrue();
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.CANCELLED);
+            assertThat(attempt.awaitClose()).isTrue();
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.CANCELLED);
         }
     }
 
     /** The collected start of the body is kept until bytes beyond it are written, so an unreachable server does not fail the request. */
     @Test
     void aLongRequestIsRetriedIfNoBytesOfItAreLost() throws Exception {
-        var unreachable = new Peer();
+        var unreachable = new FakeServer();
         unreachable.close();
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && !e.last()) {
                 actions.accept(new Send(e.id(), "s1", 0));
             }
         }, unreachable, server); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
-            sendInBackground(client, Fixture.post("r1", LONG));
+            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            sendInBackground(client, ProxyFixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
-            assertThat(Peer.next(seen).body()).isEqualTo(LONG);
+            assertThat(FakeServer.takeNext(seen).body()).isEqualTo(LONG);
         }
     }
 
     @Test
     void aLongRequestOfWhichBytesAreLostIsNotRetried() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             } else if (event instanceof AttemptEnded e && e.attempt() == 0) {
@@ -198,13 +198,13 @@
                 actions.accept(new Refuse(e.id(), 0));
             }
         }, server); var client = proxy.client()) {
-            client.send(Fixture.post("r1", LONG).substring(0, 200_000));
-            try (Wire attempt = server.accept()) {
+            client.send(ProxyFixture.post("r1", LONG).substring(0, 200_000));
+            try (RawConnection attempt = server.accept()) {
                 attempt.readHead();
                 attempt.skip(150_000);
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.CONNECT_FAILED);
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.CONNECT_FAILED);
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(503);
         }
     }
@@ -212,61 +212,61 @@
     /** The client can read the error even while it is still sending: no reset overtakes the response. */
     @Test
     void theResponseToAnIncompleteRequestClosesItsConnection() throws Exception {
-        try (var proxy = new Fixture((event, actions) -> {
+        try (var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a) {
                 actions.accept(new Fail(a.id()));
             }
         }); var client = proxy.client()) {
-            client.send(Fixture.post("r1", LONG).substring(0, 100_000));
-            Wire.Message response = client.read();
+            client.send(ProxyFixture.post("r1", LONG).substring(0, 100_000));
+            RawConnection.Message response = client.read();
             assertThat(response.status()).isEqualTo(502);
             assertThat(response.header("Connection")).isEqualTo("close");
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 
     /** A long body may take any time in total, but must not stall or arrive too slowly. */
     @Test
     void aLongRequestThatStallsTimesOut() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            client.send(Fixture.post("r1", LONG).substring(0, 100_000));
-            Wire attempt = server.accept();
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            client.send(ProxyFixture.post("r1", LONG).substring(0, 100_000));
+            RawConnection attempt = server.accept();
             attempt.readHead();
             assertThat(client.read().status()).isEqualTo(408);
-            assertThat(client.ended()).isTrue();
-            assertThat(proxy.next(AttemptEnded.class).outcome().neverRan()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
+            assertThat(proxy.nextEvent(AttemptEnded.class).outcome().neverRan()).isTrue();
         }
     }
 
     @Test
     void sendsContinueToAClientThatExpectsIt() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
-            String request = Fixture.post("r1", "body").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            String request = ProxyFixture.post("r1", "body").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
             assertThat(client.send(request).readHead().status()).isEqualTo(100);
             assertThat(client.send("body").read().body()).isEqualTo("made");
-            assertThat(Peer.next(seen).header("Expect")).isNull();
+            assertThat(FakeServer.takeNext(seen).header("Expect")).isNull();
         }
     }
 
     @Test
     void forwardsATargetWithoutSchemeAndHost() throws Exception {
-        try (var server = new Peer(); var proxy = new Fixture(Fixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = server.always(Peer.ok("made"));
-            client.send(Fixture.get("r1").replace("GET /api", "GET http://service.internal/api")).read();
-            assertThat(Peer.next(seen).first()).isEqualTo("GET /api?k=u1 HTTP/1.1");
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            client.send(ProxyFixture.get("r1").replace("GET /api", "GET http://service.internal/api")).read();
+            assertThat(FakeServer.takeNext(seen).first()).isEqualTo("GET /api?k=u1 HTTP/1.1");
         }
     }
 
     /** Guards against request smuggling: with two lengths, one server could see two requests where another one sees one. */
     @Test
     void aRequestWithTwoLengthsIsRejected() throws Exception {
-        try (var proxy = new Fixture(Fixture.sendTo("s0"))) {
+        try (var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"))) {
             for (String secondLength : new String[] {"Transfer-Encoding: chunked", "Content-Length: 5"}) {
                 try (var client = proxy.client()) {
-                    client.send(Fixture.post("r1", "body").replace("Content-Length", secondLength + "\r\nContent-Length"));
+                    client.send(ProxyFixture.post("r1", "body").replace("Content-Length", secondLength + "\r\nContent-Length"));
                     assertThat(client.read().status()).isEqualTo(400);
-                    assertThat(client.ended()).isTrue();
+                    assertThat(client.awaitClose()).isTrue();
                 }
             }
             assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
--- a/proxy/src/test/java/walkpost/proxy/SystemCallFaultsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/SystemCallFaultsTest.java
@@ -22,41 +22,41 @@
 
     @TempDir
     private Path dir;
-    private final Peer discovery;
-    private final Peer server;
+    private final FakeServer discovery;
+    private final FakeServer server;
 
     SystemCallFaultsTest() throws IOException {
-        discovery = new Peer();
-        server = new Peer();
+        discovery = new FakeServer();
+        server = new FakeServer();
     }
 
-    private Program program(SystemCallFaults faults) throws IOException {
-        ObjectNode config = Fixture.config();
+    private ServeProcess program(SystemCallFaults faults) throws IOException {
+        ObjectNode config = ProxyFixture.config();
         config.put("discovery", discovery.address());
-        String entry = Fixture.entry("s0", server.address(), "ready");
-        config.set("known", Config.JSON.readTree(Fixture.list(41, true, entry)));
-        return new Program(dir, config, faults.environment());
+        String entry = ProxyFixture.serverEntry("s0", server.address(), "ready");
+        config.set("known", Config.JSON.readTree(ProxyFixture.serverList(41, true, entry)));
+        return new ServeProcess(dir, config, faults.environment());
     }
 
-    private static Wire client(Program program) throws IOException {
-        String line = program.line("listening");
+    private static RawConnection client(ServeProcess program) throws IOException {
+        String line = program.waitForLine("listening");
         int port = Integer.parseInt(line.replaceAll(".*port=(\\d+).*", "$1"));
-        return Wire.to(new InetSocketAddress("127.0.0.1", port));
+        return RawConnection.connect(new InetSocketAddress("127.0.0.1", port));
     }
 
     private String listWithDrainingServer() {
-        return Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "draining")));
+        return FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", server.address(), "draining")));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"EMFILE", "ENOBUFS"})
     void callsDiscoveryAgainDespiteAFailedSocketCall(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "socket=" + error + ";most=1");
-        try (Program program = program(faults)) {
-            Wire call = discovery.accept();
+        try (ServeProcess program = program(faults)) {
+            RawConnection call = discovery.accept();
             call.read();
             faults.arm();
-            call.send(Peer.ok(Fixture.list(42, true)));
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true)));
             assertThat(discovery.accept().read().first()).contains("from=42&");
             assertThat(faults.injected()).hasSize(1);
             program.signal("KILL");
@@ -68,14 +68,14 @@
     @ValueSource(strings = {"EHOSTUNREACH", "ETIMEDOUT", "EINTR", "SHORT"})
     void readsDiscoverysAnswerDespiteAFailedRead(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "read=" + error + ";most=1");
-        try (Program program = program(faults)) {
-            Wire call = discovery.accept();
+        try (ServeProcess program = program(faults)) {
+            RawConnection call = discovery.accept();
             call.read();
             faults.arm();
             call.send(listWithDrainingServer());
             assertThat(discovery.accept().read().first()).contains("from=42&");
             assertThat(faults.injected()).hasSize(1);
-            assertThat(program.ended()).isFalse();
+            assertThat(program.hasEnded()).isFalse();
         }
     }
 
@@ -83,9 +83,9 @@
     @ValueSource(strings = {"EHOSTUNREACH", "EINTR"})
     void answersARequestDespiteAFailedReadFromItsClient(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "read=" + error + ";most=1");
-        server.always(Peer.ok("served"));
-        try (Program program = program(faults); Wire client = client(program)) {
-            String request = Fixture.get("r1");
+        server.answerAll(FakeServer.okResponse("served"));
+        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+            String request = ProxyFixture.get("r1");
             client.send(request.substring(0, 20));
             faults.arm();
             client.send(request.substring(20));
@@ -98,12 +98,12 @@
     @ValueSource(strings = {"ENOBUFS", "SHORT"})
     void answersARequestDespiteFailedWrites(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "write=" + error + ";most=2");
-        BlockingQueue<Wire.Message> attempts = server.always(Peer.ok("served"));
-        try (Program program = program(faults); Wire client = client(program)) {
+        BlockingQueue<RawConnection.Message> attempts = server.answerAll(FakeServer.okResponse("served"));
+        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
             faults.arm();
-            client.send(Fixture.post("r1", "a body"));
+            client.send(ProxyFixture.post("r1", "a body"));
             assertThat(client.read().body()).isEqualTo("served");
-            assertThat(attempts).extracting(Wire.Message::body).containsExactly("a body");
+            assertThat(attempts).extracting(RawConnection.Message::body).containsExactly("a body");
             assertThat(faults.injected()).hasSize(2);
         }
     }
@@ -112,12 +112,12 @@
     @ValueSource(strings = {"ENOBUFS", "EHOSTUNREACH"})
     void deliversAnAnswerDespiteAFailedWrite(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "write=" + error + ";most=1");
-        try (Program program = program(faults); Wire client = client(program)) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = server.accept();
+        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = server.accept();
             attempt.read();
             faults.arm();
-            attempt.send(Peer.ok("served"));
+            attempt.send(FakeServer.okResponse("served"));
             assertThat(client.read().body()).isEqualTo("served");
             assertThat(faults.injected()).hasSize(1);
         }
@@ -126,9 +126,9 @@
     @Test
     void reportsATruncatedAnswerOfUnknownLength() throws Exception {
         var faults = new SystemCallFaults(dir, "read=ETIMEDOUT;most=1");
-        try (Program program = program(faults); Wire client = client(program)) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = server.accept();
+        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = server.accept();
             attempt.read();
             attempt.send("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(LONG_ANSWER_BYTES));
             assertThat(client.readHead().header("Transfer-Encoding")).isEqualTo("chunked");
@@ -136,8 +136,8 @@
             faults.arm();
             attempt.close();
             faults.await(1);
-            assertThatThrownBy(client::rest).isInstanceOf(IOException.class);
-            assertThat(program.ended()).isFalse();
+            assertThatThrownBy(client::readToEnd).isInstanceOf(IOException.class);
+            assertThat(program.hasEnded()).isFalse();
         }
     }
 
@@ -146,10 +146,10 @@
     void startsDespiteFailedCalls(String call) throws Exception {
         var faults = new SystemCallFaults(dir, call + ";most=3");
         faults.arm();
-        try (Program program = program(faults); Wire client = client(program)) {
+        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
             client.send("GET /ready HTTP/1.1\r\n\r\n");
             assertThat(client.read()).isNotNull();
-            assertThat(program.ended()).isFalse();
+            assertThat(program.hasEnded()).isFalse();
             assertThat(faults.injected()).hasSize(3);
         }
     }
@@ -158,8 +158,8 @@
     void startsDespiteFailedReadsOfItsConfiguration() throws Exception {
         var faults = new SystemCallFaults(dir, "open_read=EMFILE;path=config.json;most=2");
         faults.arm();
-        try (Program program = program(faults)) {
-            assertThat(program.line("listening")).isNotNull();
+        try (ServeProcess program = program(faults)) {
+            assertThat(program.waitForLine("listening")).isNotNull();
             assertThat(faults.injected()).hasSize(2);
         }
     }
@@ -167,10 +167,10 @@
     @Test
     void reloadsItsConfigurationDespiteFailedReads() throws Exception {
         var faults = new SystemCallFaults(dir, "open_read=EIO;path=config.json;most=2");
-        try (var next = new Peer(); Program program = program(faults)) {
+        try (var next = new FakeServer(); ServeProcess program = program(faults)) {
             discovery.accept().read();
-            program.line("listening");
-            program.configure(Fixture.config().put("discovery", next.address()));
+            program.waitForLine("listening");
+            program.writeConfig(ProxyFixture.config().put("discovery", next.address()));
             faults.arm();
             program.signal("HUP");
             assertThat(next.accept().read().first()).contains("/v1/endpoints");
@@ -182,17 +182,17 @@
     @ValueSource(strings = {"wakeup_write=EIO", "wakeup_read=EIO"})
     void servesUntilTheEndOfAShutdownDespiteFailedWakeups(String call) throws Exception {
         var faults = new SystemCallFaults(dir, call + ";most=2");
-        server.always(Peer.ok("served"));
-        try (Program program = program(faults); Wire client = client(program)) {
-            client.send(Fixture.get("r1"));
+        server.answerAll(FakeServer.okResponse("served"));
+        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+            client.send(ProxyFixture.get("r1"));
             assertThat(client.read().status()).isEqualTo(200);
             faults.arm();
             program.signal("TERM");
-            assertThat(program.line("draining")).isNotNull();
-            client.send(Fixture.get("r2"));
+            assertThat(program.waitForLine("draining")).isNotNull();
+            client.send(ProxyFixture.get("r2"));
             assertThat(client.read().status()).isEqualTo(200);
-            assertThat(program.line("drained|ends_with_clients")).isNotNull();
-            assertThat(program.status()).isZero();
+            assertThat(program.waitForLine("drained|ends_with_clients")).isNotNull();
+            assertThat(program.exitStatus()).isZero();
         }
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/MomentaryFailureTest.java
+++ b/proxy/src/test/java/walkpost/proxy/TransientFailureTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Tests which failures of a read or a write are retried, and for how long. */
-class MomentaryFailureTest {
-    private final MomentaryFailure failure = new MomentaryFailure();
+class TransientFailureTest {
+    private final TransientFailure failure = new TransientFailure();
 
     @ParameterizedTest
     @ValueSource(strings = {"No buffer space available", "Cannot allocate memory", "No route to host", "Connection timed out",
@@ -33,8 +33,8 @@
     void stopsRetryingAfterTheMaximumDuration() {
         var cause = new IOException("No buffer space available");
         assertThat(failure.shouldRetry(cause, 5)).isTrue();
-        assertThat(failure.shouldRetry(cause, 5 + MomentaryFailure.MAX_DURATION_NS - 1)).isTrue();
-        assertThat(failure.shouldRetry(cause, 5 + MomentaryFailure.MAX_DURATION_NS)).isFalse();
+        assertThat(failure.shouldRetry(cause, 5 + TransientFailure.MAX_DURATION_NS - 1)).isTrue();
+        assertThat(failure.shouldRetry(cause, 5 + TransientFailure.MAX_DURATION_NS)).isFalse();
     }
 
     @Test
@@ -43,6 +43,6 @@
         failure.shouldRetry(cause, 0);
         failure.succeeded();
         assertThat(failure.pending()).isNull();
-        assertThat(failure.shouldRetry(cause, MomentaryFailure.MAX_DURATION_NS)).isTrue();
+        assertThat(failure.shouldRetry(cause, TransientFailure.MAX_DURATION_NS)).isTrue();
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
@@ -1,10 +1,9 @@
 package walkpost.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
+import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Members;
 import walkpost.Balancer.Send;
 import walkpost.Balancer.Watch;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -32,23 +31,23 @@
     /** Until the proxy can serve, clients wait in the socket's queue, where another process may accept them. */
     @Test
     void acceptsNoClientBeforeItIsReady() throws Exception {
-        try (var server = new Peer(); var socket = openListener();
-                var proxy = Fixture.sharing(socket, (event, actions) -> {
-                    if (event instanceof Members m && m.kind() == ListKind.CACHED) {
+        try (var server = new FakeServer(); var socket = openListener();
+                var proxy = ProxyFixture.withInheritedListener(socket, (event, actions) -> {
+                    if (event instanceof Balancer.ListUpdate m && m.kind() == ListKind.CACHED) {
                         actions.accept(new Watch(true));
                     } else if (event instanceof Arrival a) {
                         actions.accept(new Send(a.id(), "s0", 0));
                     }
                 }, tempDir); var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            assertThat(proxy.call("readyz\n")).startsWith("FAILURE");
-            Wire call = proxy.discovery.accept();
+            client.send(ProxyFixture.get("r1"));
+            assertThat(proxy.callOperator("readyz\n")).startsWith("FAILURE");
+            RawConnection call = proxy.discovery.accept();
             call.read();
             assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
-            server.always(Peer.ok("served"));
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "ready"))));
+            server.answerAll(FakeServer.okResponse("served"));
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", server.address(), "ready"))));
             assertThat(client.read().body()).isEqualTo("served");
-            assertThat(proxy.call("readyz\n")).startsWith("SUCCESS");
+            assertThat(proxy.callOperator("readyz\n")).startsWith("SUCCESS");
             assertThat(socket.isBlocking()).isTrue();
         }
     }
@@ -56,29 +55,29 @@
     /** At the start of a shutdown the proxy stops accepting clients, and closes each connection after its next answer. */
     @Test
     void handsItsClientsOverToTheNextProcess() throws Exception {
-        try (var server = new Peer(); var socket = openListener();
-                var proxy = Fixture.sharing(socket, Fixture.sendTo("s0"), tempDir, server);
+        try (var server = new FakeServer(); var socket = openListener();
+                var proxy = ProxyFixture.withInheritedListener(socket, ProxyFixture.sendTo("s0"), tempDir, server);
                 var busy = proxy.client(); var idle = proxy.client()) {
-            busy.send(Fixture.get("r1"));
-            Wire attempt = server.accept();
+            busy.send(ProxyFixture.get("r1"));
+            RawConnection attempt = server.accept();
             attempt.read();
             idle.send("GET /other HTTP/1.1\r\n\r\n").read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             while (socket.isOpen()) {
                 Thread.onSpinWait();
             }
-            idle.send(Fixture.get("r2"));
-            attempt.send(Peer.ok("one"));
-            Wire.Message answer = busy.read();
+            idle.send(ProxyFixture.get("r2"));
+            attempt.send(FakeServer.okResponse("one"));
+            RawConnection.Message answer = busy.read();
             assertThat(answer.body()).isEqualTo("one");
             assertThat(answer.header("Connection")).isEqualTo("close");
-            assertThat(busy.ended()).isTrue();
+            assertThat(busy.awaitClose()).isTrue();
             assertThat(drained).isNotDone();
-            Wire second = server.accept();
+            RawConnection second = server.accept();
             second.read();
-            second.send(Peer.ok("two"));
+            second.send(FakeServer.okResponse("two"));
             assertThat(idle.read().body()).isEqualTo("two");
-            assertThat(idle.ended()).isTrue();
+            assertThat(idle.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
         }
     }
@@ -92,7 +91,7 @@
         var admitted = new CountDownLatch(InheritedListener.AHEAD);
         var ended = new CountDownLatch(1);
         try (var socket = openListener()) {
-            var listener = new InheritedListener(socket, loop, new SystemCallFailures(), client -> admitted.countDown(), ended::countDown);
+            var listener = new InheritedListener(socket, loop, new SystemCallFailureCounter(), client -> admitted.countDown(), ended::countDown);
             loop.execute(() -> {
                 try {
                     loopMayContinue.await();
@@ -102,7 +101,7 @@
             });
             listener.start();
             for (int i = 0; i < InheritedListener.AHEAD; i++) {
-                Wire.to((InetSocketAddress) socket.getLocalAddress());
+                RawConnection.connect((InetSocketAddress) socket.getLocalAddress());
             }
             while (loop.pendingTasks() < InheritedListener.AHEAD && !Thread.currentThread().isInterrupted()) {
                 Thread.onSpinWait();
@@ -121,32 +120,32 @@
     /** Two real processes share one socket. The old one ends, and clients with old and new connections are served throughout. */
     @Test
     void theNextProcessServesOverTheSameSocket(@TempDir Path dir) throws Exception {
-        try (var server = new Peer(); var discovery = new Peer();
-                var platform = new Platform(dir, config(server, discovery))) {
-            server.always(Peer.ok("served"));
-            discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", server.address(), "ready"))));
-            platform.start();
-            platform.line("listening proxy=n0 socket=inherited");
+        try (var server = new FakeServer(); var discovery = new FakeServer();
+                var platform = new SocketActivator(dir, config(server, discovery))) {
+            server.answerAll(FakeServer.okResponse("served"));
+            discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", server.address(), "ready"))));
+            platform.startProxy();
+            platform.waitForLine("listening proxy=n0 socket=inherited");
             try (var client = platform.client()) {
-                assertThat(client.send(Fixture.get("r1")).read().body()).isEqualTo("served");
-                platform.start();
-                platform.line("listening proxy=n0 socket=inherited");
-                platform.endFirst();
-                assertThat(platform.line("draining|drained")).contains("draining");
-                assertThat(client.send(Fixture.get("r2")).read().header("Connection")).isEqualTo("close");
+                assertThat(client.send(ProxyFixture.get("r1")).read().body()).isEqualTo("served");
+                platform.startProxy();
+                platform.waitForLine("listening proxy=n0 socket=inherited");
+                platform.terminateOldest();
+                assertThat(platform.waitForLine("draining|drained")).contains("draining");
+                assertThat(client.send(ProxyFixture.get("r2")).read().header("Connection")).isEqualTo("close");
                 // The log goes on after the JDK has closed descriptor 2 along with the socket.
-                assertThat(platform.line("drained")).endsWith(" INFO serve drained proxy=n0");
+                assertThat(platform.waitForLine("drained")).endsWith(" INFO serve drained proxy=n0");
             }
             try (var client = platform.client()) {
-                assertThat(client.send(Fixture.get("r3")).read().body()).isEqualTo("served");
+                assertThat(client.send(ProxyFixture.get("r3")).read().body()).isEqualTo("served");
             }
         }
     }
 
     /** Returns a configuration with an address of discovery and one known server. */
-    static ObjectNode config(Peer server, Peer discovery) throws Exception {
-        ObjectNode config = Fixture.config().put("discovery", discovery.address());
-        config.set("known", Config.JSON.readTree(Fixture.list(41, true, Fixture.entry("s0", server.address(), "ready"))));
+    static ObjectNode config(FakeServer server, FakeServer discovery) throws Exception {
+        ObjectNode config = ProxyFixture.config().put("discovery", discovery.address());
+        config.set("known", Config.JSON.readTree(ProxyFixture.serverList(41, true, ProxyFixture.serverEntry("s0", server.address(), "ready"))));
         return config;
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/WarmupTest.java
+++ b/proxy/src/test/java/walkpost/proxy/WarmupTest.java
@@ -15,7 +15,7 @@
 class WarmupTest {
     @Test
     void servesTheGivenNumberOfRequests(@TempDir Path dir) throws Exception {
-        var settings = Config.parse(Fixture.config()).settings();
+        var settings = Config.parse(ProxyFixture.config()).settings();
         long timeoutMs = TimeUnit.MINUTES.toMillis(5);
         assertThat(Warmup.run(settings, 50, dir, Warmup.CLIENTS, timeoutMs, timeoutMs)).isBetween(50, 50 + Warmup.CLIENTS);
     }
@@ -24,7 +24,7 @@
     @Test
     @Timeout(60)
     void endsEarlyIfNoRequestIsAnswered(@TempDir Path dir) throws Exception {
-        var settings = Config.parse(Fixture.config()).settings();
+        var settings = Config.parse(ProxyFixture.config()).settings();
         assertThat(Warmup.run(settings, 50, dir, 0, 1, TimeUnit.MINUTES.toMillis(5))).isZero();
     }
 
@@ -39,13 +39,13 @@
 
     @Test
     void aProxyWithLittleTrafficListensWithoutAWarmup(@TempDir Path dir) throws Exception {
-        try (var program = new Program(dir, Fixture.config())) {
-            assertThat(program.line("warmed_up|listening")).contains(" serve listening proxy=n0 port=");
+        try (var program = new ServeProcess(dir, ProxyFixture.config())) {
+            assertThat(program.waitForLine("warmed_up|listening")).contains(" serve listening proxy=n0 port=");
         }
     }
 
     private static ObjectNode config(int allowancePerS) throws IOException {
-        ObjectNode config = Fixture.config();
+        ObjectNode config = ProxyFixture.config();
         ((ObjectNode) config.path("settings").path("projects").path(0)).put("allowance_per_s", allowancePerS);
         return config;
     }
@@ -53,9 +53,9 @@
     /** A real process logs its warm-up and listens only after that. */
     @Test
     void listensOnlyAfterTheWarmup(@TempDir Path dir) throws Exception {
-        try (var program = new Program(dir, config(8_000))) {
-            assertThat(program.line("warmed_up|listening|library")).matches(".* INFO serve warmed_up requests=[1-9]\\d*");
-            assertThat(program.line("listening")).contains(" proxy=n0 ");
+        try (var program = new ServeProcess(dir, config(8_000))) {
+            assertThat(program.waitForLine("warmed_up|listening|library")).matches(".* INFO serve warmed_up requests=[1-9]\\d*");
+            assertThat(program.waitForLine("listening")).contains(" proxy=n0 ");
             try (var filesLeft = Files.list(dir)) {
                 assertThat(filesLeft).containsExactly(dir.resolve("config.json"));
             }
--- a/proxy/src/test/java/walkpost/slope/ModuleDrive.java
+++ b/proxy/src/test/java/walkpost/slope/ModuleDrive.java
@@ -1,15 +1,15 @@
 package walkpost.slope;
-
+import walkpost.Balancer;
 import walkpost.Balancer.Action;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Backend;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Effect;
 import walkpost.Balancer.Event;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
 import walkpost.Balancer.Fail;
-import walkpost.Balancer.Members;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Refuse;
 import walkpost.Balancer.RequestClass;
@@ -18,7 +18,6 @@
 import walkpost.Balancer.Send;
 import walkpost.Balancer.SetTimer;
 import walkpost.Balancer.Settings;
-import walkpost.Balancer.State;
 import walkpost.Balancer.Tenant;
 import walkpost.Balancer.TimerFired;
 import walkpost.Policy;
@@ -72,7 +71,7 @@
     }
 
     static Backend ready(String id, long startedAtUs) {
-        return new Backend(id, State.READY, "std", "a", 1, startedAtUs, 1);
+        return new Backend(id, Balancer.BackendState.READY, "std", "a", 1, startedAtUs, 1);
     }
 
     static List<Backend> servers(int count) {
@@ -101,7 +100,7 @@
     }
 
     void list(ListKind kind, List<Backend> backends) {
-        feed(new Members(kind, backends));
+        feed(new Balancer.ListUpdate(kind, backends));
     }
 
     /** Sets the outcome of all further attempts. */
--- a/proxy/src/test/java/walkpost/wire/InstanceHostTest.java
+++ b/proxy/src/test/java/walkpost/wire/InstanceHostTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer;
+import walkpost.Balancer.BackendState;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -88,11 +89,11 @@
                 "probed who=3 cost_time_us=14 how=delivered backend=10.1.1.1:80\n", "deadline_hit who=3 ctx=x\n",
                 "inbox who=3 author=2 content=6869\n"))).isZero();
         assertThat(events).containsExactly(
-                new Balancer.Members(Balancer.ListKind.CACHED, List.of(new Balancer.Backend("10.1.1.1:80",
-                        Balancer.State.READY, "std-1", "ulven", 2, 7, 1.5))),
+                new Balancer.ListUpdate(Balancer.ListKind.CACHED, List.of(new Balancer.Backend("10.1.1.1:80",
+                        BackendState.READY, "std-1", "ulven", 2, 7, 1.5))),
                 new Balancer.Arrival("t/1", "pay", "vest", "user:k", 240000, true, 12_000),
                 new Balancer.AttemptEnded("t/1", 0, "10.1.1.1:80", Balancer.Outcome.FULL, 18500, false),
-                new Balancer.StreamStarted("t/1", 1), new Balancer.ClientGone("t/1"),
+                new Balancer.ResponseStreamStarted("t/1", 1), new Balancer.ClientGone("t/1"),
                 new Balancer.ProbeEnded("10.1.1.1:80", Balancer.Outcome.OK, 14), new Balancer.TimerFired("x"));
     }
 
