--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -123,7 +123,7 @@
     }
 
     /** An entry of the server list. A {@code startedAtUs} of 0 means long ago; {@code weight} is relative to that of other backends. */
-    record Backend(String id, Balancer.BackendState state, String kind, String zone, int cell, long startedAtUs, double weight) {
+    record Backend(String id, BackendState state, String kind, String zone, int cell, long startedAtUs, double weight) {
         public Backend {
             require(id != null && !id.isEmpty(), "backend id", id, "a text that is not empty");
             require(state != null, "state of backend " + id, state, "a value");
@@ -131,8 +131,8 @@
     }
 
     /** An event that the proxy reports. */
-    sealed interface Event permits Balancer.ListUpdate, Balancer.SettingsChanged, Excluded, Included, Arrival, Balancer.RequestStreamStarted,
-            Balancer.RequestStreamEnded, Balancer.ResponseStreamStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded { }
+    sealed interface Event permits ListUpdate, SettingsChanged, Excluded, Included, Arrival, RequestStreamStarted,
+            RequestStreamEnded, ResponseStreamStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded { }
 
     /** The server list has changed, or a call for it failed. A backend that is missing from a full list is gone. */
     record ListUpdate(ListKind kind, List<Backend> backends) implements Event { }
--- a/proxy/src/main/java/walkpost/DiscoveryBackOff.java
+++ b/proxy/src/main/java/walkpost/DiscoveryBackOff.java
@@ -7,9 +7,8 @@
 public final class DiscoveryBackOff {
     /**
      * The longest back-off, in microseconds. After a failed call, a change has to reach the proxy within 6 s from the time when discovery
-     * knows it and can be reached. Two such back-offs are the longest time taken by a call that began just before that moment. A busy
-     * discovery takes 1.5 s to answer, and of the 2.5 s that are left, 0.1 s are for the machine. {@code proxy.ListClock} has
-     * the whole sum.
+     * knows it and can be reached. Of these 6 s, a call that began just before that moment takes at most 2 s, and an answer from a busy
+     * discovery 1.5 s. Of the 2.5 s that are left, 0.1 s are for the machine. {@code proxy.ListCallTiming} has the whole sum.
      */
     public static final long LONGEST_US = 2_400_000;
     /** The first step is the time within which a proxy has to ask, divided by this; each further step is twice the one before. */
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -213,17 +213,17 @@
             requestArrived(e);
         } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
-        } else if (event instanceof Balancer.RequestStreamStarted e) {
+        } else if (event instanceof RequestStreamStarted e) {
             findInFlight(e.id(), e.attempt()).ifPresent(this::requestStreamStarted);
-        } else if (event instanceof Balancer.RequestStreamEnded e) {
+        } else if (event instanceof RequestStreamEnded e) {
             findInFlight(e.id(), e.attempt()).ifPresent(attempt -> requestStreamEnded(attempt, e.leftUs()));
-        } else if (event instanceof Balancer.ResponseStreamStarted e) {
+        } else if (event instanceof ResponseStreamStarted e) {
             findInFlight(e.id(), e.attempt()).ifPresent(this::responseStreamStarted);
         } else if (event instanceof TimerFired e && e.token().equals("ask") && now >= listRequestAt) {
             requestList();
-        } else if (event instanceof Balancer.ListUpdate e) {
+        } else if (event instanceof ListUpdate e) {
             listUpdated(e);
-        } else if (event instanceof Balancer.SettingsChanged e) {
+        } else if (event instanceof SettingsChanged e) {
             applySettings(e.settings());
             refreshWeights();
             requestList();
@@ -239,7 +239,7 @@
 
     // List of servers
 
-    private void listUpdated(Balancer.ListUpdate update) {
+    private void listUpdated(ListUpdate update) {
         if (update.kind() == ListKind.FAILED) {
             // A failed call is repeated after an exponential back-off with jitter.
             failedListCalls++;
@@ -274,10 +274,10 @@
                 // Removes only servers that are present: a vain search for each entry of a full list would take quadratic time.
                 servers.remove(server);
             }
-            server.ready = backend.state() == Balancer.BackendState.READY && !excludedIds.contains(backend.id());
+            server.ready = backend.state() == BackendState.READY && !excludedIds.contains(backend.id());
             if (server.ready) {
                 servers.add(server);
-            } else if (backend.state() == Balancer.BackendState.READY) {
+            } else if (backend.state() == BackendState.READY) {
                 readyButExcluded.add(server);
             }
         }
@@ -307,7 +307,7 @@
     private void include(String id) {
         includedAt.put(id, now);
         Server server = serversById.get(id);
-        if (server != null && server.listed.state() == Balancer.BackendState.READY) {
+        if (server != null && server.listed.state() == BackendState.READY) {
             applyList(ListKind.DELTA, List.of(serversById.remove(id).listed));
         }
     }
--- a/proxy/src/test/java/walkpost/DecisionTraceTest.java
+++ b/proxy/src/test/java/walkpost/DecisionTraceTest.java
@@ -6,6 +6,7 @@
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Backend;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Cancel;
 import walkpost.Balancer.ClientGone;
 import walkpost.Balancer.Event;
@@ -13,12 +14,17 @@
 import walkpost.Balancer.Included;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.RequestClass;
+import walkpost.Balancer.RequestStreamEnded;
+import walkpost.Balancer.RequestStreamStarted;
+import walkpost.Balancer.ResponseStreamStarted;
 import walkpost.Balancer.Rules;
 import walkpost.Balancer.Send;
 import walkpost.Balancer.SetTimer;
 import walkpost.Balancer.Settings;
+import walkpost.Balancer.SettingsChanged;
 import walkpost.Balancer.Tenant;
 import walkpost.Balancer.TimerFired;
 import java.util.ArrayList;
@@ -81,10 +87,10 @@
         policy = new Policy(settings);
         now = 1000 * PolicyHarness.S;
         for (int i = 0; i < servers; i++) {
-            list("s" + i, Balancer.BackendState.READY, random.nextInt(4) == 0 ? now - random.nextInt(8_000_000) : 0);
+            list("s" + i, BackendState.READY, random.nextInt(4) == 0 ? now - random.nextInt(8_000_000) : 0);
         }
         names.addAll(listed.keySet().stream().sorted().toList());
-        feed(new Balancer.ListUpdate(ListKind.FULL, allListed()));
+        feed(new ListUpdate(ListKind.FULL, allListed()));
         for (int i = 0; i < requests; i++) {
             now += random.nextInt(10) == 0 ? random.nextInt(200_000) : random.nextInt(6_000);
             advanceTo(now);
@@ -111,17 +117,17 @@
     private void changeListOrSettings(int proxies, int tenants, long seed) {
         String name = names.get(random.nextInt(names.size()));
         switch (random.nextInt(7)) {
-            case 0 -> feed(new Balancer.ListUpdate(ListKind.FULL, allListed()));
-            case 1 -> feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(list(name, Balancer.BackendState.DRAINING, listed.get(name).startedAtUs()))));
-            case 2 -> feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(list(name, Balancer.BackendState.READY, now))));
-            case 3 -> feed(new Balancer.ListUpdate(ListKind.FAILED, List.of()));
-            case 4 -> feed(new Balancer.SettingsChanged(settings(proxies, 1 + random.nextInt(tenants), seed)));
+            case 0 -> feed(new ListUpdate(ListKind.FULL, allListed()));
+            case 1 -> feed(new ListUpdate(ListKind.DELTA, List.of(list(name, BackendState.DRAINING, listed.get(name).startedAtUs()))));
+            case 2 -> feed(new ListUpdate(ListKind.DELTA, List.of(list(name, BackendState.READY, now))));
+            case 3 -> feed(new ListUpdate(ListKind.FAILED, List.of()));
+            case 4 -> feed(new SettingsChanged(settings(proxies, 1 + random.nextInt(tenants), seed)));
             case 5 -> feed(new Excluded(name));
             default -> names.forEach(each -> feed(new Included(each)));
         }
     }
 
-    private Backend list(String name, Balancer.BackendState state, long startedAt) {
+    private Backend list(String name, BackendState state, long startedAt) {
         var backend = new Backend(name, state, name.hashCode() % 3 == 0 ? "big" : "std", name.hashCode() % 2 == 0 ? "a" : "b",
                 name.hashCode() % 5, startedAt, 1 + name.hashCode() % 3);
         listed.put(name, backend);
@@ -188,10 +194,10 @@
         }
         int bodyStyle = random.nextInt(12);
         if (bodyStyle == 0) {
-            schedule(500, new Balancer.RequestStreamStarted(send.id(), number));
-            schedule(2_000, new Balancer.RequestStreamEnded(send.id(), number, 400_000));
+            schedule(500, new RequestStreamStarted(send.id(), number));
+            schedule(2_000, new RequestStreamEnded(send.id(), number, 400_000));
         } else if (bodyStyle == 1 && outcome == Outcome.OK) {
-            schedule(tookUs / 2, new Balancer.ResponseStreamStarted(send.id(), number));
+            schedule(tookUs / 2, new ResponseStreamStarted(send.id(), number));
         }
         schedule(tookUs, new AttemptEnded(send.id(), number, send.backend(), outcome, tookUs, outcome == Outcome.OK));
     }
--- a/proxy/src/test/java/walkpost/ExclusionTest.java
+++ b/proxy/src/test/java/walkpost/ExclusionTest.java
@@ -7,9 +7,11 @@
 import static walkpost.PolicyHarness.started;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Excluded;
 import walkpost.Balancer.Included;
 import walkpost.Balancer.ListKind;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Release;
 import java.util.ArrayList;
@@ -38,8 +40,8 @@
         assertThat(serve(10)).containsOnly("b");
         proxy.fullList(backend("a"), backend("b"));
         assertThat(serve(10)).containsOnly("b");
-        proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"))));
-        proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(started("a", proxy.now))));
+        proxy.feed(new ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(BackendState.DRAINING, "a"))));
+        proxy.feed(new ListUpdate(ListKind.DELTA, List.of(started("a", proxy.now))));
         assertThat(serve(10)).containsOnly("b");
     }
 
--- a/proxy/src/test/java/walkpost/PolicyHarness.java
+++ b/proxy/src/test/java/walkpost/PolicyHarness.java
@@ -4,10 +4,12 @@
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Backend;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Effect;
 import walkpost.Balancer.Event;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.RequestClass;
 import walkpost.Balancer.Rules;
@@ -69,7 +71,7 @@
     }
 
     static Backend backend(String id, String kind, String zone, int cell) {
-        return new Backend(id, Balancer.BackendState.READY, kind, zone, cell, 0, 1);
+        return new Backend(id, BackendState.READY, kind, zone, cell, 0, 1);
     }
 
     static Backend backend(String id) {
@@ -77,10 +79,10 @@
     }
 
     static Backend started(String id, long at) {
-        return new Backend(id, Balancer.BackendState.READY, "std", "a", 1, at, 1);
+        return new Backend(id, BackendState.READY, "std", "a", 1, at, 1);
     }
 
-    static Backend inState(Balancer.BackendState state, String id) {
+    static Backend inState(BackendState state, String id) {
         return new Backend(id, state, "std", "a", 1, 0, 1);
     }
 
@@ -97,7 +99,7 @@
     }
 
     void fullList(Backend... backends) {
-        feed(new Balancer.ListUpdate(ListKind.FULL, List.of(backends)));
+        feed(new ListUpdate(ListKind.FULL, List.of(backends)));
     }
 
     /** Lets a request arrive and returns its id. */
--- a/proxy/src/test/java/walkpost/PolicyScalingTest.java
+++ b/proxy/src/test/java/walkpost/PolicyScalingTest.java
@@ -6,6 +6,7 @@
 import walkpost.Balancer.Backend;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Settings;
+import walkpost.Balancer.SettingsChanged;
 import walkpost.Balancer.Tenant;
 import com.sun.management.ThreadMXBean;
 import java.lang.management.ManagementFactory;
@@ -175,7 +176,7 @@
 
     private static long reloadBytes(int tenants) {
         PolicyHarness proxy = proxy(10, tenants);
-        var next = new Balancer.SettingsChanged(settings(tenants));
+        var next = new SettingsChanged(settings(tenants));
         proxy.feed(next);
         return allocatedBytes(() -> proxy.feed(next));
     }
--- a/proxy/src/test/java/walkpost/RandomizedRulesTest.java
+++ b/proxy/src/test/java/walkpost/RandomizedRulesTest.java
@@ -5,6 +5,7 @@
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Backend;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Cancel;
 import walkpost.Balancer.ClientGone;
 import walkpost.Balancer.Effect;
@@ -12,6 +13,7 @@
 import walkpost.Balancer.Fail;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Refuse;
 import walkpost.Balancer.RequestClass;
@@ -114,10 +116,10 @@
 
         void run() {
             for (int i = 0; i < 6; i++) {
-                Backend backend = backend("s" + i, Balancer.BackendState.READY, 0);
+                Backend backend = backend("s" + i, BackendState.READY, 0);
                 listed.put(backend.id(), backend);
             }
-            feed(new Balancer.ListUpdate(ListKind.CACHED, List.copyOf(listed.values())));
+            feed(new ListUpdate(ListKind.CACHED, List.copyOf(listed.values())));
             long end = now + 20_000_000;
             while (now < end + 5_000_000) {
                 now += TICK_US;
@@ -146,21 +148,21 @@
             }
             if (random.nextInt(200) == 0) {
                 String id = "s" + random.nextInt(8);
-                Balancer.BackendState state = Balancer.BackendState.values()[random.nextInt(3)];
+                BackendState state = BackendState.values()[random.nextInt(3)];
                 Backend backend = backend(id, state, random.nextInt(3) == 0 ? now - random.nextInt(3_000_000) : 0);
                 listed.put(id, backend);
-                feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(backend)));
+                feed(new ListUpdate(ListKind.DELTA, List.of(backend)));
             }
             if (random.nextInt(1500) == 0) {
                 listed.clear();
-                feed(new Balancer.ListUpdate(ListKind.FULL, List.of()));
+                feed(new ListUpdate(ListKind.FULL, List.of()));
             }
             if (random.nextInt(300) == 0) {
-                feed(new Balancer.ListUpdate(ListKind.FAILED, List.of()));
+                feed(new ListUpdate(ListKind.FAILED, List.of()));
             }
         }
 
-        private Backend backend(String id, Balancer.BackendState state, long startedAt) {
+        private Backend backend(String id, BackendState state, long startedAt) {
             return new Backend(id, state, "k" + random.nextInt(2), random.nextBoolean() ? "a" : "b", random.nextInt(3),
                     startedAt, 1);
         }
@@ -236,7 +238,7 @@
             attemptsSent++;
             assertThat(request.finished).as("nothing after the final answer").isFalse();
             assertThat(to).as("a backend on the list").isNotNull();
-            assertThat(to.state()).isEqualTo(Balancer.BackendState.READY);
+            assertThat(to.state()).isEqualTo(BackendState.READY);
             assertThat(request.attempts.size()).isLessThan(settings.limits().maxAttempts());
             assertThat(send.timeoutUs()).isPositive();
             assertThat(now + send.timeoutUs()).isLessThanOrEqualTo(request.deadline);
--- a/proxy/src/test/java/walkpost/RulesTest.java
+++ b/proxy/src/test/java/walkpost/RulesTest.java
@@ -13,14 +13,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.Action;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Cancel;
 import walkpost.Balancer.ClientGone;
 import walkpost.Balancer.Fail;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Refuse;
 import walkpost.Balancer.Release;
+import walkpost.Balancer.ResponseStreamStarted;
 import walkpost.Balancer.Rules;
 import walkpost.Balancer.Send;
 import walkpost.Balancer.SetTimer;
@@ -92,7 +95,7 @@
             proxy.fullList(backend("a"));
             assertThat(proxy.feed(new ClientGone("nobody"))).isEmpty();
             assertThat(proxy.feed(new Balancer.AttemptEnded("nobody", 0, "a", Outcome.OK, MS, true))).isEmpty();
-            assertThat(proxy.feed(new Balancer.ResponseStreamStarted("nobody", 0))).isEmpty();
+            assertThat(proxy.feed(new ResponseStreamStarted("nobody", 0))).isEmpty();
             assertThat(proxy.feed(new Balancer.ProbeEnded("gone", Outcome.OK, MS))).isEmpty();
         }
 
@@ -100,7 +103,7 @@
         void brokenResponseStreamHasNoFurtherAnswer() {
             proxy.fullList(backend("a"), backend("b"));
             String id = proxy.arrive(READ);
-            proxy.feed(new Balancer.ResponseStreamStarted(id, 0));
+            proxy.feed(new ResponseStreamStarted(id, 0));
             assertThat(proxy.feed(new Balancer.AttemptEnded(id, 0, "a", Outcome.RESET, 3 * S, true))).isEmpty();
         }
     }
@@ -256,7 +259,7 @@
         void idleConnectionsAreReleasedAtTheDrainAndAgainAfterTheLastAttempt() {
             proxy.fullList(backend("a"));
             String id = proxy.arrive(VOTE);
-            assertThat(proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a")))))
+            assertThat(proxy.feed(new ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(BackendState.DRAINING, "a")))))
                     .containsExactly(new Release("a"));
             assertThat(proxy.endAttempt(id, Outcome.OK, MS)).containsExactly(new Release("a"));
         }
@@ -267,7 +270,7 @@
             String id = proxy.arrive(READ);
             String to = proxy.lastSend(id).backend();
             proxy.feed(new ClientGone(id));
-            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, to))));
+            proxy.feed(new ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(BackendState.DRAINING, to))));
             assertThat(proxy.endAttempt(id, Outcome.CANCELLED, MS)).containsExactly(new Release(to));
         }
 
@@ -285,8 +288,8 @@
         @Test
         void drainingOrGoneBackendGetsNoRequests() {
             proxy.fullList(backend("a"), backend("b"), backend("c"));
-            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA,
-                    List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"), PolicyHarness.inState(Balancer.BackendState.GONE, "b"))));
+            proxy.feed(new ListUpdate(ListKind.DELTA,
+                    List.of(PolicyHarness.inState(BackendState.DRAINING, "a"), PolicyHarness.inState(BackendState.GONE, "b"))));
             for (int i = 0; i < 10; i++) {
                 assertThat(proxy.serve(READ, MS)).isEqualTo("c");
             }
@@ -304,22 +307,22 @@
         @Test
         void nothingIsSentIfAllBackendsDrain() {
             proxy.fullList(backend("a"));
-            proxy.fullList(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"));
+            proxy.fullList(PolicyHarness.inState(BackendState.DRAINING, "a"));
             String id = proxy.arrive(READ);
             assertThat(proxy.sendCount(id)).isZero();
         }
 
         @Test
         void drainedBackendMayComeBack() {
-            proxy.fullList(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"));
-            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(backend("a"))));
+            proxy.fullList(PolicyHarness.inState(BackendState.DRAINING, "a"));
+            proxy.feed(new ListUpdate(ListKind.DELTA, List.of(backend("a"))));
             assertThat(proxy.serve(READ, MS)).isEqualTo("a");
         }
 
         @Test
         void backendThatDrainsAndComesBackInOneUpdateIsUsedOnce() {
             proxy.fullList(backend("a"), backend("b"));
-            proxy.feed(new Balancer.ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(Balancer.BackendState.DRAINING, "a"), backend("a"))));
+            proxy.feed(new ListUpdate(ListKind.DELTA, List.of(PolicyHarness.inState(BackendState.DRAINING, "a"), backend("a"))));
             int toA = 0;
             for (int i = 0; i < 12; i++) {
                 toA += proxy.serve(READ, MS).equals("a") ? 1 : 0;
@@ -330,8 +333,8 @@
         @Test
         void listOnRequestIsRequestedAtOnceAndAgainAfterAFailure() {
             var harness = new PolicyHarness(PolicyHarness.settings(new Limits(true, false, false, true, 4, 0), RULES));
-            assertThat(harness.feed(new Balancer.ListUpdate(ListKind.CACHED, List.of(backend("a"))))).contains(new Watch(true));
-            List<Action> after = harness.feed(new Balancer.ListUpdate(ListKind.FAILED, List.of()));
+            assertThat(harness.feed(new ListUpdate(ListKind.CACHED, List.of(backend("a"))))).contains(new Watch(true));
+            List<Action> after = harness.feed(new ListUpdate(ListKind.FAILED, List.of()));
             SetTimer timer = (SetTimer) after.get(0);
             assertThat(timer.atUs()).isBetween(harness.now + 1, harness.now + RULES.askWithinUs());
             assertThat(harness.serve(READ, MS)).as("the previous list stays in use").isEqualTo("a");
@@ -344,8 +347,8 @@
             var harness = new PolicyHarness(PolicyHarness.settings(new Limits(true, false, false, true, 4, 0), RULES));
             var other = new PolicyHarness(new Balancer.Settings(1, 0, "a", MS, List.of(READ), List.of(), 1, false,
                     new Limits(true, false, false, true, 4, 0), RULES, 8));
-            assertThat(harness.feed(new Balancer.ListUpdate(ListKind.FAILED, List.of())))
-                    .doesNotContainAnyElementsOf(other.feed(new Balancer.ListUpdate(ListKind.FAILED, List.of())).stream()
+            assertThat(harness.feed(new ListUpdate(ListKind.FAILED, List.of())))
+                    .doesNotContainAnyElementsOf(other.feed(new ListUpdate(ListKind.FAILED, List.of())).stream()
                             .filter(a -> a instanceof SetTimer t && t.atUs() != other.now + RULES.askWithinUs()).toList());
         }
     }
--- a/proxy/src/test/java/walkpost/ServerSelectionTest.java
+++ b/proxy/src/test/java/walkpost/ServerSelectionTest.java
@@ -8,6 +8,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.Backend;
+import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Outcome;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +22,8 @@
 
     @Test
     void ordersTwoBackendsAsInThePaper() {
-        proxy.fullList(new Backend("d1", Balancer.BackendState.READY, "one", "a", 1, 0, 1), new Backend("d2", Balancer.BackendState.READY, "two", "a", 1, 0, 2));
+        proxy.fullList(new Backend("d1", BackendState.READY, "one", "a", 1, 0, 1),
+                new Backend("d2", BackendState.READY, "two", "a", 1, 0, 2));
         var order = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
             String id = proxy.arrive(READ);
--- a/proxy/src/test/java/walkpost/SettingsChangeTest.java
+++ b/proxy/src/test/java/walkpost/SettingsChangeTest.java
@@ -15,6 +15,7 @@
 import walkpost.Balancer.RequestClass;
 import walkpost.Balancer.Scope;
 import walkpost.Balancer.Settings;
+import walkpost.Balancer.SettingsChanged;
 import walkpost.Balancer.Tenant;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -35,7 +36,7 @@
     void newAttemptLimitAppliesToNewRequestsOnly() {
         proxy.fullList(backend("a"), backend("b"), backend("c"));
         String open = proxy.arrive(READ);
-        proxy.feed(new Balancer.SettingsChanged(settings(maxAttempts(1), READ, PAY)));
+        proxy.feed(new SettingsChanged(settings(maxAttempts(1), READ, PAY)));
         proxy.endAttempt(open, Outcome.ERROR, 10 * MS);
         assertThat(proxy.sendCount(open)).isEqualTo(2);
         proxy.endAttempt(open, Outcome.OK, 10 * MS);
@@ -50,7 +51,7 @@
         proxy.fullList(backend("a"), backend("b"), backend("c"));
         var runOnce = new RequestClass("read", READ.aimUs(), READ.deadlineUs(), 1, 0, Effect.UNSAFE, Scope.ALL, 0);
         String open = proxy.arrive(READ);
-        proxy.feed(new Balancer.SettingsChanged(settings(LIMITS, runOnce, PAY)));
+        proxy.feed(new SettingsChanged(settings(LIMITS, runOnce, PAY)));
         String next = proxy.arrive(runOnce);
         proxy.endAttempt(open, Outcome.RESET, 10 * MS);
         proxy.endAttempt(next, Outcome.RESET, 10 * MS);
@@ -62,7 +63,7 @@
     void newClassesAreServedAndSoAreLateRequestsOfRemovedOnes() {
         proxy.fullList(backend("a"), backend("b"));
         var browse = new RequestClass("browse", 300 * MS, S, 5, 0, Effect.SAFE, Scope.ALL, 0);
-        proxy.feed(new Balancer.SettingsChanged(settings(LIMITS, browse)));
+        proxy.feed(new SettingsChanged(settings(LIMITS, browse)));
         assertThat(proxy.serve(browse, 10 * MS)).isIn("a", "b");
         assertThat(proxy.serve(READ, 10 * MS)).isIn("a", "b");
     }
@@ -75,7 +76,7 @@
         String failed = proxy.lastSend(id).backend();
         proxy.endAttempt(id, Outcome.CONNECT_FAILED, 10 * MS);
         proxy.endAttempt(id, Outcome.OK, 10 * MS);
-        proxy.feed(new Balancer.SettingsChanged(settings(LIMITS, PAY, READ)));
+        proxy.feed(new SettingsChanged(settings(LIMITS, PAY, READ)));
         for (int i = 0; i < 20; i++) {
             assertThat(proxy.serve(READ, 10 * MS)).isNotEqualTo(failed);
         }
--- a/proxy/src/test/java/walkpost/SlowStartFleetTest.java
+++ b/proxy/src/test/java/walkpost/SlowStartFleetTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import walkpost.Balancer.ListKind;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Rules;
 import walkpost.Balancer.Send;
@@ -68,7 +69,7 @@
     private void sendList(List<Balancer.Backend> backends) {
         for (PolicyHarness proxy : fleet) {
             proxy.now = now;
-            proxy.feed(new Balancer.ListUpdate(ListKind.FULL, backends));
+            proxy.feed(new ListUpdate(ListKind.FULL, backends));
         }
     }
 
--- a/proxy/src/test/java/walkpost/slope/ModuleDrive.java
+++ b/proxy/src/test/java/walkpost/slope/ModuleDrive.java
@@ -1,5 +1,5 @@
 package walkpost.slope;
-import walkpost.Balancer;
+
 import walkpost.Balancer.Action;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
@@ -7,9 +7,10 @@
 import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Effect;
 import walkpost.Balancer.Event;
+import walkpost.Balancer.Fail;
 import walkpost.Balancer.Limits;
 import walkpost.Balancer.ListKind;
-import walkpost.Balancer.Fail;
+import walkpost.Balancer.ListUpdate;
 import walkpost.Balancer.Outcome;
 import walkpost.Balancer.Refuse;
 import walkpost.Balancer.RequestClass;
@@ -71,7 +72,7 @@
     }
 
     static Backend ready(String id, long startedAtUs) {
-        return new Backend(id, Balancer.BackendState.READY, "std", "a", 1, startedAtUs, 1);
+        return new Backend(id, BackendState.READY, "std", "a", 1, startedAtUs, 1);
     }
 
     static List<Backend> servers(int count) {
@@ -100,7 +101,7 @@
     }
 
     void list(ListKind kind, List<Backend> backends) {
-        feed(new Balancer.ListUpdate(kind, backends));
+        feed(new ListUpdate(kind, backends));
     }
 
     /** Sets the outcome of all further attempts. */
--- a/proxy/src/test/java/walkpost/slope/ModuleSlope.java
+++ b/proxy/src/test/java/walkpost/slope/ModuleSlope.java
@@ -1,9 +1,10 @@
 package walkpost.slope;
-import walkpost.Balancer;
+
 import walkpost.Balancer.Backend;
 import walkpost.Balancer.BackendState;
 import walkpost.Balancer.ListKind;
 import walkpost.Balancer.Outcome;
+import walkpost.Balancer.SettingsChanged;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -85,7 +86,7 @@
         double listMs = ModuleDrive.medianMs(() -> drive.list(ListKind.FULL, list));
         drive.requestOfEachTenantAndClass(classes, tenants, 92);
         long[] requestNs = drive.measureRequests(2_000, classes, tenants);
-        double reloadMs = ModuleDrive.medianMs(() -> drive.feed(new Balancer.SettingsChanged(settings)));
+        double reloadMs = ModuleDrive.medianMs(() -> drive.feed(new SettingsChanged(settings)));
         return String.format("list first %.1f ms again %.1f ms  request p50 %.1f us p99 %.1f us max %.0f us  reload %.2f ms", firstMs,
                 listMs, ModuleDrive.quantileUs(requestNs, 0.5), ModuleDrive.quantileUs(requestNs, 0.99),
                 ModuleDrive.quantileUs(requestNs, 1), reloadMs);
@@ -110,7 +111,7 @@
                 int at = (round * each + i) % servers;
                 Backend gone = list.get(at);
                 list.set(at, ModuleDrive.ready("n-" + round + "-" + i, 0));
-                drive.list(ListKind.DELTA, List.of(new Backend(gone.id(), Balancer.BackendState.GONE, null, null, 0, 0, 1), list.get(at)));
+                drive.list(ListKind.DELTA, List.of(new Backend(gone.id(), BackendState.GONE, null, null, 0, 0, 1), list.get(at)));
             }
             System.out.printf("replaced %5d of %d, as changes  heap +%.2f MB%n", (round + 1) * each, servers,
                     (ModuleDrive.usedBytes() - before) / 1e6);
