--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -777,7 +777,7 @@
      * in time.
      */
     private void requestList() {
-        if (settings.limits().listMustBeAsked()) {
+        if (settings.limits().listOnRequest()) {
             actions.accept(new Watch(true));
             scheduleListRequest(rules.askWithinUs());
         } else {
--- a/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
@@ -82,7 +82,7 @@
     }
 
     private void setTiming(Balancer.Settings settings) {
-        pushed = !settings.limits().listMustBeAsked();
+        pushed = !settings.limits().listOnRequest();
         timing = new ListCallTiming(pushed, settings.rules().askWithinUs() / 1_000);
     }
 
--- a/proxy/src/test/java/walkpost/RandomizedRulesTest.java
+++ b/proxy/src/test/java/walkpost/RandomizedRulesTest.java
@@ -209,7 +209,7 @@
                 } else if (action instanceof SetTimer a) {
                     due.add(new Due(Math.max(a.atUs(), now + 1), order++, new TimerFired(a.token())));
                 } else if (action instanceof Watch) {
-                    assertThat(settings.limits().listMustBeAsked()).isTrue();
+                    assertThat(settings.limits().listOnRequest()).isTrue();
                 }
             });
         }
--- a/proxy/src/test/java/walkpost/proxy/ConfigTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ConfigTest.java
@@ -18,7 +18,7 @@
     void readsAllSettings() throws Exception {
         Config config = Config.parse(ProxyFixture.config());
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
-        assertThat(config.settings().limits().listMustBeAsked()).isTrue();
+        assertThat(config.settings().limits().listOnRequest()).isTrue();
         assertThat(config.settings().classes()).extracting(Balancer.RequestClass::effect)
                 .containsExactly(Balancer.Effect.SAFE, Balancer.Effect.KEYED, Balancer.Effect.UNSAFE);
         assertThat(config.settings().tenants()).containsExactly(new Balancer.Tenant("acme", 100));
