--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -71,10 +71,10 @@
     }
 
     /**
-     * What the proxy may do. With {@code secondCopies} it may send hedged requests. With {@code listOnRequest} the server list comes only
+     * What the proxy may do. With {@code hedging} it may send hedged requests. With {@code listOnRequest} the server list comes only
      * after {@link Watch} or {@link Fetch}.
      */
-    record Limits(boolean cancel, boolean secondCopies, boolean probes, boolean listOnRequest, int maxAttempts,
+    record Limits(boolean cancel, boolean hedging, boolean probes, boolean listOnRequest, int maxAttempts,
             long maxRetryAfterUs) {
         public Limits {
             require(maxAttempts >= 1, "max attempts", maxAttempts, "1 or more");
--- a/proxy/src/main/java/walkpost/proxy/BalancerDriver.java
+++ b/proxy/src/main/java/walkpost/proxy/BalancerDriver.java
@@ -422,7 +422,7 @@
         long leftUs = request.leftUs(clock.nowUs());
         long timeoutUs = send.timeoutUs() == 0 ? leftUs : Math.min(send.timeoutUs(), leftUs);
         Balancer.Limits limits = request.incoming.limits();
-        return number >= limits.maxAttempts() || timeoutUs <= 0 || request.attemptsInFlight > 0 && !limits.secondCopies() ? null
+        return number >= limits.maxAttempts() || timeoutUs <= 0 || request.attemptsInFlight > 0 && !limits.hedging() ? null
                 : backends.newAttempt(send.backend(), request.incoming.outgoing(), timeoutUs, send.sendByUs(),
                         new AttemptTracker(request, number, send.backend()));
     }
--- a/proxy/src/main/java/walkpost/proxy/Warmup.java
+++ b/proxy/src/main/java/walkpost/proxy/Warmup.java
@@ -181,7 +181,7 @@
     private Balancer.Settings settingsWithoutDiscovery() {
         Balancer.Limits limits = settings.limits();
         return new Balancer.Settings(1, 0, settings.zone(), settings.tickUs(), settings.classes(), settings.tenants(),
-                settings.overShareWorth(), settings.warmKeys(), new Balancer.Limits(limits.cancel(), limits.secondCopies(),
+                settings.overShareWorth(), settings.warmKeys(), new Balancer.Limits(limits.cancel(), limits.hedging(),
                 limits.probes(), false, limits.maxAttempts(), limits.maxRetryAfterUs()), settings.rules(), settings.seed());
     }
 
--- a/proxy/src/test/java/walkpost/RandomizedRulesTest.java
+++ b/proxy/src/test/java/walkpost/RandomizedRulesTest.java
@@ -243,7 +243,7 @@
             assertThat(send.timeoutUs()).isPositive();
             assertThat(now + send.timeoutUs()).isLessThanOrEqualTo(request.deadline);
             for (SentAttempt attempt : request.attempts) {
-                assertThat(settings.limits().secondCopies() || attempt.outcome != null).isTrue();
+                assertThat(settings.limits().hedging() || attempt.outcome != null).isTrue();
                 if (attempt.mayHaveRun(settings.rules()) && request.requestClass.effect() != Effect.SAFE) {
                     assertThat(request.requestClass.effect()).isEqualTo(Effect.KEYED);
                     assertThat(now).isLessThan(attempt.sentAt + request.requestClass.windowUs());
