--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -85,10 +85,10 @@
     /**
      * The parameters of the rules. A backend starts at {@code coldFrom} of its capacity and is warm after {@code coldUs}. It fails
      * if all proxies together send it more than {@code fallMultiple} of its capacity for {@code fallUs}. A proxy has to ask for the server
-     * list within {@code askWithinUs}. With {@code fullUnproven}, a backend may answer {@link Outcome#FULL} for work that it had begun.
+     * list within {@code askWithinUs}. With {@code fullMayHaveRun}, a backend may answer {@link Outcome#FULL} for work that it had begun.
      */
     record Rules(double coldFrom, long coldUs, double fallMultiple, long fallUs, long askWithinUs,
-            boolean fullUnproven) {
+            boolean fullMayHaveRun) {
         public Rules {
             require(coldFrom > 0 && coldFrom <= 1, "cold from", coldFrom, "a part above 0 and up to 1");
             require(coldUs >= 0, "cold time", coldUs, "0 us or more");
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -511,7 +511,7 @@
      */
     private boolean mayHaveRun(Attempt attempt) {
         return attempt.outcome == null || !attempt.outcome.neverRan()
-                || attempt.outcome == Outcome.FULL && rules.fullUnproven();
+                || attempt.outcome == Outcome.FULL && rules.fullMayHaveRun();
     }
 
     private static boolean inSameScope(Scope scope, Backend first, Backend second) {
--- a/proxy/src/test/java/walkpost/RandomizedRulesTest.java
+++ b/proxy/src/test/java/walkpost/RandomizedRulesTest.java
@@ -64,7 +64,7 @@
         }
 
         boolean mayHaveRun(Rules rules) {
-            return outcome == null || !outcome.neverRan() || outcome == Outcome.FULL && rules.fullUnproven();
+            return outcome == null || !outcome.neverRan() || outcome == Outcome.FULL && rules.fullMayHaveRun();
         }
     }
 
