--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -85,16 +85,16 @@
     /**
      * The parameters of the rules. A backend starts at {@code coldFrom} of its capacity and is warm after {@code coldUs}. It fails
      * if all proxies together send it more than {@code fallMultiple} of its capacity for {@code fallUs}. A proxy has to ask for the server
-     * list within {@code askWithinUs}. With {@code fullMayHaveRun}, a backend may answer {@link Outcome#FULL} for work that it had begun.
+     * list within {@code requestListWithinUs}. With {@code fullMayHaveRun}, a backend may answer {@link Outcome#FULL} for work that it had begun.
      */
-    record Rules(double coldFrom, long coldUs, double fallMultiple, long fallUs, long askWithinUs,
+    record Rules(double coldFrom, long coldUs, double fallMultiple, long fallUs, long requestListWithinUs,
             boolean fullMayHaveRun) {
         public Rules {
             require(coldFrom > 0 && coldFrom <= 1, "cold from", coldFrom, "a part above 0 and up to 1");
             require(coldUs >= 0, "cold time", coldUs, "0 us or more");
             require(fallMultiple > 0, "fall multiple", fallMultiple, "more than 0");
             require(fallUs > 0, "fall time", fallUs, "more than 0 us");
-            require(askWithinUs > 0, "ask within", askWithinUs, "more than 0 us");
+            require(requestListWithinUs > 0, "ask within", requestListWithinUs, "more than 0 us");
         }
     }
 
--- a/proxy/src/main/java/walkpost/DiscoveryBackOff.java
+++ b/proxy/src/main/java/walkpost/DiscoveryBackOff.java
@@ -21,12 +21,12 @@
      * Returns how long to wait, in microseconds: from a half to three halves of the step. If that exceeds {@link #LONGEST_US}, the jitter
      * is spread over the range that is left, because proxies that all waited for the longest time would call in the same moment.
      *
-     * @param askWithinUs the time within which a proxy without a watch has to ask for the list, from the settings
+     * @param requestListWithinUs the time within which a proxy without a watch has to ask for the list, from the settings
      * @param failedCalls the number of calls that have failed in a row, from 1
      * @param jitter a random number from 0 to 1, this proxy's own
      */
-    public static long delayUs(long askWithinUs, int failedCalls, double jitter) {
-        double stepUs = askWithinUs / (double) FIRST_STEP_DIVISOR * (1 << Math.min(failedCalls - 1, MAX_DOUBLINGS));
+    public static long delayUs(long requestListWithinUs, int failedCalls, double jitter) {
+        double stepUs = requestListWithinUs / (double) FIRST_STEP_DIVISOR * (1 << Math.min(failedCalls - 1, MAX_DOUBLINGS));
         double mostUs = Math.min(1.5 * stepUs, LONGEST_US);
         double leastUs = Math.min(0.5 * stepUs, mostUs / 2);
         return (long) (leastUs + (mostUs - leastUs) * jitter);
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -243,7 +243,7 @@
         if (update.kind() == ListKind.FAILED) {
             // A failed call is repeated after an exponential back-off with jitter.
             failedListCalls++;
-            scheduleListRequest(DiscoveryBackOff.delayUs(rules.askWithinUs(), failedListCalls, random.nextDouble()));
+            scheduleListRequest(DiscoveryBackOff.delayUs(rules.requestListWithinUs(), failedListCalls, random.nextDouble()));
             return;
         }
         if (update.kind() != ListKind.CACHED) {
@@ -779,7 +779,7 @@
     private void requestList() {
         if (settings.limits().listOnRequest()) {
             actions.accept(new Watch(true));
-            scheduleListRequest(rules.askWithinUs());
+            scheduleListRequest(rules.requestListWithinUs());
         } else {
             listRequestAt = Long.MAX_VALUE;
         }
--- a/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
@@ -83,7 +83,7 @@
 
     private void setTiming(Balancer.Settings settings) {
         pushed = !settings.limits().listOnRequest();
-        timing = new ListCallTiming(pushed, settings.rules().askWithinUs() / 1_000);
+        timing = new ListCallTiming(pushed, settings.rules().requestListWithinUs() / 1_000);
     }
 
     /** Returns whether the first call has ended or was waited for long enough, so that the proxy should serve with the list it has. */
--- a/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
+++ b/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
@@ -9,11 +9,11 @@
 class DiscoveryBackOffTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 500_000, 1_900_000, 10_000_000, 20_000_000, 60_000_000, 600_000_000, Long.MAX_VALUE / 100})
-    void growsUpToTheLongestAndHasJitter(long askWithinUs) {
+    void growsUpToTheLongestAndHasJitter(long requestListWithinUs) {
         long previousMost = 0;
         for (int failed = 1; failed < 100; failed++) {
-            long least = DiscoveryBackOff.delayUs(askWithinUs, failed, 0);
-            long most = DiscoveryBackOff.delayUs(askWithinUs, failed, 1);
+            long least = DiscoveryBackOff.delayUs(requestListWithinUs, failed, 0);
+            long most = DiscoveryBackOff.delayUs(requestListWithinUs, failed, 1);
             assertThat(most).isBetween(previousMost, DiscoveryBackOff.LONGEST_US);
             assertThat(least).isLessThanOrEqualTo(most / 2);
             previousMost = most;
--- a/proxy/src/test/java/walkpost/RulesTest.java
+++ b/proxy/src/test/java/walkpost/RulesTest.java
@@ -336,7 +336,7 @@
             assertThat(harness.feed(new ListUpdate(ListKind.CACHED, List.of(backend("a"))))).contains(new Watch(true));
             List<Action> after = harness.feed(new ListUpdate(ListKind.FAILED, List.of()));
             SetTimer timer = (SetTimer) after.get(0);
-            assertThat(timer.atUs()).isBetween(harness.now + 1, harness.now + RULES.askWithinUs());
+            assertThat(timer.atUs()).isBetween(harness.now + 1, harness.now + RULES.requestListWithinUs());
             assertThat(harness.serve(READ, MS)).as("the previous list stays in use").isEqualTo("a");
             harness.now = timer.atUs();
             assertThat(harness.fireTimer(timer.token())).contains(new Watch(true));
@@ -349,7 +349,7 @@
                     new Limits(true, false, false, true, 4, 0), RULES, 8));
             assertThat(harness.feed(new ListUpdate(ListKind.FAILED, List.of())))
                     .doesNotContainAnyElementsOf(other.feed(new ListUpdate(ListKind.FAILED, List.of())).stream()
-                            .filter(a -> a instanceof SetTimer t && t.atUs() != other.now + RULES.askWithinUs()).toList());
+                            .filter(a -> a instanceof SetTimer t && t.atUs() != other.now + RULES.requestListWithinUs()).toList());
         }
     }
 
