--- a/proxy/src/main/java/walkpost/DiscoveryBackOff.java
+++ b/proxy/src/main/java/walkpost/DiscoveryBackOff.java
@@ -10,7 +10,7 @@
      * knows it and can be reached. Of these 6 s, a call that began just before that moment takes at most 2 s, and an answer from a busy
      * discovery 1.5 s. Of the 2.5 s that are left, 0.1 s are for the machine. {@code proxy.ListCallTiming} has the whole sum.
      */
-    public static final long LONGEST_US = 2_400_000;
+    public static final long MAX_DELAY_US = 2_400_000;
     /** The first step is the time within which a proxy has to ask, divided by this; each further step is twice the one before. */
     private static final int FIRST_STEP_DIVISOR = 32;
     private static final int MAX_DOUBLINGS = 3;
@@ -18,7 +18,7 @@
     private DiscoveryBackOff() { }
 
     /**
-     * Returns how long to wait, in microseconds: from a half to three halves of the step. If that exceeds {@link #LONGEST_US}, the jitter
+     * Returns how long to wait, in microseconds: from a half to three halves of the step. If that exceeds {@link #MAX_DELAY_US}, the jitter
      * is spread over the range that is left, because proxies that all waited for the longest time would call in the same moment.
      *
      * @param requestListWithinUs the time within which a proxy without a watch has to ask for the list, from the settings
@@ -27,7 +27,7 @@
      */
     public static long delayUs(long requestListWithinUs, int failedCalls, double jitter) {
         double stepUs = requestListWithinUs / (double) FIRST_STEP_DIVISOR * (1 << Math.min(failedCalls - 1, MAX_DOUBLINGS));
-        double mostUs = Math.min(1.5 * stepUs, LONGEST_US);
+        double mostUs = Math.min(1.5 * stepUs, MAX_DELAY_US);
         double leastUs = Math.min(0.5 * stepUs, mostUs / 2);
         return (long) (leastUs + (mostUs - leastUs) * jitter);
     }
--- a/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
+++ b/proxy/src/test/java/walkpost/DiscoveryBackOffTest.java
@@ -14,7 +14,7 @@
         for (int failed = 1; failed < 100; failed++) {
             long least = DiscoveryBackOff.delayUs(requestListWithinUs, failed, 0);
             long most = DiscoveryBackOff.delayUs(requestListWithinUs, failed, 1);
-            assertThat(most).isBetween(previousMost, DiscoveryBackOff.LONGEST_US);
+            assertThat(most).isBetween(previousMost, DiscoveryBackOff.MAX_DELAY_US);
             assertThat(least).isLessThanOrEqualTo(most / 2);
             previousMost = most;
         }
--- a/proxy/src/test/java/walkpost/proxy/ListCallTimingTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ListCallTimingTest.java
@@ -105,7 +105,7 @@
     /** Checks the rows of the table at {@link ListCallTiming} that include the balancer's back-off: each must stay within 6 s. */
     @Test
     void repeatsAFailedCallBeforeAChangeThatItMissedCounts() {
-        long backOffMs = DiscoveryBackOff.LONGEST_US / 1_000;
+        long backOffMs = DiscoveryBackOff.MAX_DELAY_US / 1_000;
         for (long withinMs : ASK_WITHIN_MS) {
             var timing = new ListCallTiming(false, withinMs);
             for (long waitMs : waits(timing)) {
