--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -84,8 +84,9 @@
 
     /**
      * The parameters of the rules. A backend starts at {@code coldFrom} of its capacity and is warm after {@code coldUs}. It fails
-     * if all proxies together send it more than {@code fallMultiple} of its capacity for {@code fallUs}. A proxy has to ask for the server
-     * list within {@code requestListWithinUs}. With {@code fullMayHaveRun}, a backend may answer {@link Outcome#FULL} for work that it had begun.
+     * if all proxies together send it more than {@code fallMultiple} of its capacity for {@code fallUs}. A proxy without a watch has to ask
+     * for the server list within {@code requestListWithinUs}. With {@code fullMayHaveRun}, a backend may answer {@link Outcome#FULL} for
+     * work that it had begun.
      */
     record Rules(double coldFrom, long coldUs, double fallMultiple, long fallUs, long requestListWithinUs,
             boolean fullMayHaveRun) {
@@ -94,7 +95,7 @@
             require(coldUs >= 0, "cold time", coldUs, "0 us or more");
             require(fallMultiple > 0, "fall multiple", fallMultiple, "more than 0");
             require(fallUs > 0, "fall time", fallUs, "more than 0 us");
-            require(requestListWithinUs > 0, "ask within", requestListWithinUs, "more than 0 us");
+            require(requestListWithinUs > 0, "request list within", requestListWithinUs, "more than 0 us");
         }
     }
 
@@ -160,7 +161,7 @@
     /** A streamed request has been sent in full: its time starts now, and {@code leftUs} is left until the client's deadline. */
     record RequestStreamEnded(String id, int attempt, long leftUs) implements Event { }
 
-    /** An attempt's response has begun to stream to the client: the attempt is no longer repeated or replaced. */
+    /** An attempt's response has begun to stream to the client: it is the final answer from here on, whatever becomes of the stream. */
     record ResponseStreamStarted(String id, int attempt) implements Event { }
 
     /** An attempt has ended; comes once for each attempt. {@code last} says that the request has its final answer, now or before. */
--- a/proxy/src/main/java/walkpost/ConcurrencyLimit.java
+++ b/proxy/src/main/java/walkpost/ConcurrencyLimit.java
@@ -15,7 +15,7 @@
      * the limit is kept as a mean over time.
      */
     private static final double MIN_PER_SERVER = 3;
-    /** The part of the mean rate of answers of a server that is kept at a refresh, once there have been a few. */
+    /** The largest part of the mean rate of answers of a server that is kept at a refresh; the first refreshes keep less. */
     private static final double SERVER_RATE_KEPT = 0.8;
 
     private int balancers;
--- a/proxy/src/test/java/walkpost/RulesTest.java
+++ b/proxy/src/test/java/walkpost/RulesTest.java
@@ -217,39 +217,39 @@
 
     @Nested
     class FullMayHaveRunIfTheRulesSaySo {
-        private final PolicyHarness fullUnprovenProxy =
+        private final PolicyHarness fullMayHaveRunProxy =
                 new PolicyHarness(PolicyHarness.settings(LIMITS, new Rules(0.4, 8 * S, 4, S, 10 * S, true)));
 
         @Test
         void unsafeRequestIsNeitherSentAgainNorRefused() {
-            fullUnprovenProxy.fullList(backend("a"), backend("b"));
-            String id = fullUnprovenProxy.arrive(VOTE);
-            assertThat(fullUnprovenProxy.endAttempt(id, Outcome.FULL, MS)).containsExactly(new Fail(id));
+            fullMayHaveRunProxy.fullList(backend("a"), backend("b"));
+            String id = fullMayHaveRunProxy.arrive(VOTE);
+            assertThat(fullMayHaveRunProxy.endAttempt(id, Outcome.FULL, MS)).containsExactly(new Fail(id));
         }
 
         @Test
         void keyedRequestIsSentAgainWithinItsScope() {
-            fullUnprovenProxy.fullList(backend("a", "std", "a", 1), backend("b", "std", "b", 2), backend("c", "std", "a", 3));
-            String id = fullUnprovenProxy.arrive(PAY);
-            fullUnprovenProxy.endAttempt(id, Outcome.FULL, MS);
-            assertThat(fullUnprovenProxy.sendCount(id)).isEqualTo(2);
-            assertThat(fullUnprovenProxy.lastSend(id).backend()).isIn("a", "c");
+            fullMayHaveRunProxy.fullList(backend("a", "std", "a", 1), backend("b", "std", "b", 2), backend("c", "std", "a", 3));
+            String id = fullMayHaveRunProxy.arrive(PAY);
+            fullMayHaveRunProxy.endAttempt(id, Outcome.FULL, MS);
+            assertThat(fullMayHaveRunProxy.sendCount(id)).isEqualTo(2);
+            assertThat(fullMayHaveRunProxy.lastSend(id).backend()).isIn("a", "c");
         }
 
         @Test
         void keyedRequestFailsOnceItsWindowHasEnded() {
-            fullUnprovenProxy.fullList(backend("a"));
-            String id = fullUnprovenProxy.arrive(PAY);
-            fullUnprovenProxy.now += PAY.windowUs();
-            assertThat(fullUnprovenProxy.endAttempt(id, Outcome.FULL, MS)).containsExactly(new Fail(id));
+            fullMayHaveRunProxy.fullList(backend("a"));
+            String id = fullMayHaveRunProxy.arrive(PAY);
+            fullMayHaveRunProxy.now += PAY.windowUs();
+            assertThat(fullMayHaveRunProxy.endAttempt(id, Outcome.FULL, MS)).containsExactly(new Fail(id));
         }
 
         @Test
         void keyedRequestOfAllBackendsIsStillRefused() {
-            fullUnprovenProxy.fullList(backend("a"));
-            String id = fullUnprovenProxy.arrive(NOTE);
-            fullUnprovenProxy.now += NOTE.aimUs();
-            assertThat(fullUnprovenProxy.endAttempt(id, Outcome.FULL, MS)).containsExactly(new Refuse(id, 0));
+            fullMayHaveRunProxy.fullList(backend("a"));
+            String id = fullMayHaveRunProxy.arrive(NOTE);
+            fullMayHaveRunProxy.now += NOTE.aimUs();
+            assertThat(fullMayHaveRunProxy.endAttempt(id, Outcome.FULL, MS)).containsExactly(new Refuse(id, 0));
         }
     }
 
