--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -253,6 +253,7 @@
         applyList(update.kind(), update.backends());
     }
 
+    /** Applies a list update: adds, updates and removes servers, and releases the connections to those that are no longer ready. */
     private void applyList(ListKind kind, List<Backend> backends) {
         List<Server> readyBefore = List.copyOf(servers);
         if (kind != ListKind.DELTA) {
@@ -418,7 +419,7 @@
     /** Returns the server that a request is to be sent to now, or null if it has to wait. */
     private Server chooseServer(Request request) {
         Server best = null;
-        double earliestDeadline = Double.POSITIVE_INFINITY;
+        double earliestVirtualDeadline = Double.POSITIVE_INFINITY;
         // Below 0 if fewer than a quarter of the servers considered are eligible.
         int eligibilityScore = 0;
         // A proxy uses only its part of the servers. One far busier than others uses one server for each attempt in flight in the mean.
@@ -430,17 +431,18 @@
             }
             boolean eligible = isEligible(server, request);
             eligibilityScore += eligible ? 3 : -1;
-            double deadline = (server.virtualTime + 1)
+            double virtualDeadline = (server.virtualTime + 1)
                     / (server.weight * server.zoneFactor * (server == request.keyServer ? WARM_KEY_FACTOR : 1));
             // Servers that had an attempt of this request come after the others, and servers that are not eligible come last.
-            deadline *= request.attempts.isEmpty() || request.attempts.stream().noneMatch(attempt -> attempt.server == server) ? 1 : 1e6;
-            deadline *= eligible ? 1 : 1e18;
+            virtualDeadline *= request.attempts.isEmpty()
+                    || request.attempts.stream().noneMatch(attempt -> attempt.server == server) ? 1 : 1e6;
+            virtualDeadline *= eligible ? 1 : 1e18;
             // A cold server may be used by every proxy. Only a few have it in their part, and it would get nothing of what the other
             // proxies may send it.
             boolean mayUse = !eligible || warmServersLeft > 0 || warmth(server) < 1;
-            if (mayUse && deadline < earliestDeadline && hasCapacity(server, request) && slowStartAllows(server)) {
+            if (mayUse && virtualDeadline < earliestVirtualDeadline && hasCapacity(server, request) && slowStartAllows(server)) {
                 best = server;
-                earliestDeadline = deadline;
+                earliestVirtualDeadline = virtualDeadline;
             }
             // Only warm and eligible servers that are not much slower than their kind count as this proxy's part.
             boolean notSlow = !server.kindStats.hasSamples() || responseUs(server) < 4 * server.kindStats.meanUs();
@@ -471,6 +473,7 @@
                 .orElse(null);
     }
 
+    /** Spreads the entropy of a hash code over all its bits. */
     private static int mix(int hash) {
         int mixed = hash * 0x9E3779B1;
         mixed = (mixed ^ mixed >>> 15) * 0x85EBCA6B;
@@ -546,6 +549,7 @@
         return server.slowStart.allowance(now, rules, warmRatePerUs) >= 1;
     }
 
+    /** Sends an attempt of a request to a server. */
     private void send(Request request, Server server) {
         server.virtualTime += 1;
         server.slowStart.requestSent();
@@ -606,6 +610,7 @@
         }
     }
 
+    /** Returns an attempt by the request's id and the attempt's number, if it is in flight. */
     private Optional<Attempt> findInFlight(String id, int number) {
         Request request = requests.get(id);
         return request == null || number >= request.attempts.size() || request.attempts.get(number).outcome != null ? Optional.empty()
@@ -673,6 +678,7 @@
 
     // Retry
 
+    /** Queues a request again after a failed attempt, if the retry budget, its aim and its class allow; otherwise finishes it. */
     private void retry(Request request) {
         // A request that may not be sent to any server is not queued, because it would only take up room in the queue.
         if (now < request.aimAt && retryTokens >= 1 && request.attempts.size() < request.maxAttempts
@@ -766,6 +772,7 @@
     private long retryAfterUs(Request request) {
         double queuedUs = servers.isEmpty() ? refreshPeriodUs
                 : queue.size() / Math.max(concurrencyLimit.answerRate(), 1.0 / refreshPeriodUs);
+        // From 0.75 to 1, by the hash code of the request.
         double jitter = 1 - (mix(request.id.hashCode()) >>> 16) / 262_144.0;
         return (long) (jitter * Math.min(Math.max(concurrencyLimit.targetUs(), queuedUs), settings.limits().maxRetryAfterUs()));
     }
--- a/proxy/src/main/java/walkpost/wire/Codec.java
+++ b/proxy/src/main/java/walkpost/wire/Codec.java
@@ -1,7 +1,6 @@
 package walkpost.wire;
 
 import walkpost.Balancer;
-import walkpost.Balancer.BackendState;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeSet;
@@ -17,10 +16,10 @@
             "dropped", Balancer.Outcome.RESET,
             "revoked", Balancer.Outcome.CANCELLED,
             "unused", Balancer.Outcome.NOT_SENT);
-    private static final Map<String, BackendState> STATES = Map.of(
-            "IN", BackendState.READY,
-            "LAME", BackendState.DRAINING,
-            "OUT", BackendState.GONE);
+    private static final Map<String, Balancer.BackendState> STATES = Map.of(
+            "IN", Balancer.BackendState.READY,
+            "LAME", Balancer.BackendState.DRAINING,
+            "OUT", Balancer.BackendState.GONE);
     private static final Map<String, Balancer.ListKind> LISTS = Map.of(
             "patch", Balancer.ListKind.DELTA,
             "whole", Balancer.ListKind.FULL,
