--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -71,10 +71,10 @@
     }
 
     /**
-     * What the proxy may do. With {@code secondCopies} it may send hedged requests. With {@code listMustBeAsked} the server list comes only
+     * What the proxy may do. With {@code hedging} it may send hedged requests. With {@code listOnRequest} the server list comes only
      * after {@link Watch} or {@link Fetch}.
      */
-    record Limits(boolean cancel, boolean secondCopies, boolean probes, boolean listMustBeAsked, int maxAttempts,
+    record Limits(boolean cancel, boolean hedging, boolean probes, boolean listOnRequest, int maxAttempts,
             long maxRetryAfterUs) {
         public Limits {
             require(maxAttempts >= 1, "max attempts", maxAttempts, "1 or more");
@@ -84,17 +84,18 @@
 
     /**
      * The parameters of the rules. A backend starts at {@code coldFrom} of its capacity and is warm after {@code coldUs}. It fails
-     * if all proxies together send it more than {@code fallMultiple} of its capacity for {@code fallUs}. A proxy has to ask for the server
-     * list within {@code askWithinUs}. With {@code fullUnproven}, a backend may answer {@link Outcome#FULL} for work that it had begun.
+     * if all proxies together send it more than {@code fallMultiple} of its capacity for {@code fallUs}. A proxy without a watch has to ask
+     * for the server list within {@code requestListWithinUs}. With {@code fullMayHaveRun}, a backend may answer {@link Outcome#FULL} for
+     * work that it had begun.
      */
-    record Rules(double coldFrom, long coldUs, double fallMultiple, long fallUs, long askWithinUs,
-            boolean fullUnproven) {
+    record Rules(double coldFrom, long coldUs, double fallMultiple, long fallUs, long requestListWithinUs,
+            boolean fullMayHaveRun) {
         public Rules {
             require(coldFrom > 0 && coldFrom <= 1, "cold from", coldFrom, "a part above 0 and up to 1");
             require(coldUs >= 0, "cold time", coldUs, "0 us or more");
             require(fallMultiple > 0, "fall multiple", fallMultiple, "more than 0");
             require(fallUs > 0, "fall time", fallUs, "more than 0 us");
-            require(askWithinUs > 0, "ask within", askWithinUs, "more than 0 us");
+            require(requestListWithinUs > 0, "request list within", requestListWithinUs, "more than 0 us");
         }
     }
 
@@ -123,7 +124,7 @@
     }
 
     /** An entry of the server list. A {@code startedAtUs} of 0 means long ago; {@code weight} is relative to that of other backends. */
-    record Backend(String id, Balancer.BackendState state, String kind, String zone, int cell, long startedAtUs, double weight) {
+    record Backend(String id, BackendState state, String kind, String zone, int cell, long startedAtUs, double weight) {
         public Backend {
             require(id != null && !id.isEmpty(), "backend id", id, "a text that is not empty");
             require(state != null, "state of backend " + id, state, "a value");
@@ -131,8 +132,8 @@
     }
 
     /** An event that the proxy reports. */
-    sealed interface Event permits Balancer.ListUpdate, Balancer.SettingsChanged, Excluded, Included, Arrival, Balancer.RequestStreamStarted,
-            Balancer.RequestStreamEnded, Balancer.ResponseStreamStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded { }
+    sealed interface Event permits ListUpdate, SettingsChanged, Excluded, Included, Arrival, RequestStreamStarted,
+            RequestStreamEnded, ResponseStreamStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded { }
 
     /** The server list has changed, or a call for it failed. A backend that is missing from a full list is gone. */
     record ListUpdate(ListKind kind, List<Backend> backends) implements Event { }
@@ -160,7 +161,7 @@
     /** A streamed request has been sent in full: its time starts now, and {@code leftUs} is left until the client's deadline. */
     record RequestStreamEnded(String id, int attempt, long leftUs) implements Event { }
 
-    /** An attempt's response has begun to stream to the client: the attempt is no longer repeated or replaced. */
+    /** An attempt's response has begun to stream to the client: it is the final answer from here on, whatever becomes of the stream. */
     record ResponseStreamStarted(String id, int attempt) implements Event { }
 
     /** An attempt has ended; comes once for each attempt. {@code last} says that the request has its final answer, now or before. */
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -213,17 +213,17 @@
             requestArrived(e);
         } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
-        } else if (event instanceof Balancer.RequestStreamStarted e) {
+        } else if (event instanceof RequestStreamStarted e) {
             findInFlight(e.id(), e.attempt()).ifPresent(this::requestStreamStarted);
-        } else if (event instanceof Balancer.RequestStreamEnded e) {
+        } else if (event instanceof RequestStreamEnded e) {
             findInFlight(e.id(), e.attempt()).ifPresent(attempt -> requestStreamEnded(attempt, e.leftUs()));
-        } else if (event instanceof Balancer.ResponseStreamStarted e) {
+        } else if (event instanceof ResponseStreamStarted e) {
             findInFlight(e.id(), e.attempt()).ifPresent(this::responseStreamStarted);
         } else if (event instanceof TimerFired e && e.token().equals("ask") && now >= listRequestAt) {
             requestList();
-        } else if (event instanceof Balancer.ListUpdate e) {
+        } else if (event instanceof ListUpdate e) {
             listUpdated(e);
-        } else if (event instanceof Balancer.SettingsChanged e) {
+        } else if (event instanceof SettingsChanged e) {
             applySettings(e.settings());
             refreshWeights();
             requestList();
@@ -239,11 +239,11 @@
 
     // List of servers
 
-    private void listUpdated(Balancer.ListUpdate update) {
+    private void listUpdated(ListUpdate update) {
         if (update.kind() == ListKind.FAILED) {
             // A failed call is repeated after an exponential back-off with jitter.
             failedListCalls++;
-            scheduleListRequest(DiscoveryBackOff.delayUs(rules.askWithinUs(), failedListCalls, random.nextDouble()));
+            scheduleListRequest(DiscoveryBackOff.delayUs(rules.requestListWithinUs(), failedListCalls, random.nextDouble()));
             return;
         }
         if (update.kind() != ListKind.CACHED) {
@@ -253,6 +253,7 @@
         applyList(update.kind(), update.backends());
     }
 
+    /** Applies a list update: adds, updates and removes servers, and releases the connections to those that are no longer ready. */
     private void applyList(ListKind kind, List<Backend> backends) {
         List<Server> readyBefore = List.copyOf(servers);
         if (kind != ListKind.DELTA) {
@@ -274,10 +275,10 @@
                 // Removes only servers that are present: a vain search for each entry of a full list would take quadratic time.
                 servers.remove(server);
             }
-            server.ready = backend.state() == Balancer.BackendState.READY && !excludedIds.contains(backend.id());
+            server.ready = backend.state() == BackendState.READY && !excludedIds.contains(backend.id());
             if (server.ready) {
                 servers.add(server);
-            } else if (backend.state() == Balancer.BackendState.READY) {
+            } else if (backend.state() == BackendState.READY) {
                 readyButExcluded.add(server);
             }
         }
@@ -307,7 +308,7 @@
     private void include(String id) {
         includedAt.put(id, now);
         Server server = serversById.get(id);
-        if (server != null && server.listed.state() == Balancer.BackendState.READY) {
+        if (server != null && server.listed.state() == BackendState.READY) {
             applyList(ListKind.DELTA, List.of(serversById.remove(id).listed));
         }
     }
@@ -418,7 +419,7 @@
     /** Returns the server that a request is to be sent to now, or null if it has to wait. */
     private Server chooseServer(Request request) {
         Server best = null;
-        double earliestDeadline = Double.POSITIVE_INFINITY;
+        double earliestVirtualDeadline = Double.POSITIVE_INFINITY;
         // Below 0 if fewer than a quarter of the servers considered are eligible.
         int eligibilityScore = 0;
         // A proxy uses only its part of the servers. One far busier than others uses one server for each attempt in flight in the mean.
@@ -430,17 +431,18 @@
             }
             boolean eligible = isEligible(server, request);
             eligibilityScore += eligible ? 3 : -1;
-            double deadline = (server.virtualTime + 1)
+            double virtualDeadline = (server.virtualTime + 1)
                     / (server.weight * server.zoneFactor * (server == request.keyServer ? WARM_KEY_FACTOR : 1));
             // Servers that had an attempt of this request come after the others, and servers that are not eligible come last.
-            deadline *= request.attempts.isEmpty() || request.attempts.stream().noneMatch(attempt -> attempt.server == server) ? 1 : 1e6;
-            deadline *= eligible ? 1 : 1e18;
+            virtualDeadline *= request.attempts.isEmpty()
+                    || request.attempts.stream().noneMatch(attempt -> attempt.server == server) ? 1 : 1e6;
+            virtualDeadline *= eligible ? 1 : 1e18;
             // A cold server may be used by every proxy. Only a few have it in their part, and it would get nothing of what the other
             // proxies may send it.
             boolean mayUse = !eligible || warmServersLeft > 0 || warmth(server) < 1;
-            if (mayUse && deadline < earliestDeadline && hasCapacity(server, request) && slowStartAllows(server)) {
+            if (mayUse && virtualDeadline < earliestVirtualDeadline && hasCapacity(server, request) && slowStartAllows(server)) {
                 best = server;
-                earliestDeadline = deadline;
+                earliestVirtualDeadline = virtualDeadline;
             }
             // Only warm and eligible servers that are not much slower than their kind count as this proxy's part.
             boolean notSlow = !server.kindStats.hasSamples() || responseUs(server) < 4 * server.kindStats.meanUs();
@@ -471,6 +473,7 @@
                 .orElse(null);
     }
 
+    /** Spreads the entropy of a hash code over all its bits. */
     private static int mix(int hash) {
         int mixed = hash * 0x9E3779B1;
         mixed = (mixed ^ mixed >>> 15) * 0x85EBCA6B;
@@ -511,7 +514,7 @@
      */
     private boolean mayHaveRun(Attempt attempt) {
         return attempt.outcome == null || !attempt.outcome.neverRan()
-                || attempt.outcome == Outcome.FULL && rules.fullUnproven();
+                || attempt.outcome == Outcome.FULL && rules.fullMayHaveRun();
     }
 
     private static boolean inSameScope(Scope scope, Backend first, Backend second) {
@@ -546,6 +549,7 @@
         return server.slowStart.allowance(now, rules, warmRatePerUs) >= 1;
     }
 
+    /** Sends an attempt of a request to a server. */
     private void send(Request request, Server server) {
         server.virtualTime += 1;
         server.slowStart.requestSent();
@@ -606,6 +610,7 @@
         }
     }
 
+    /** Returns an attempt by the request's id and the attempt's number, if it is in flight. */
     private Optional<Attempt> findInFlight(String id, int number) {
         Request request = requests.get(id);
         return request == null || number >= request.attempts.size() || request.attempts.get(number).outcome != null ? Optional.empty()
@@ -673,6 +678,7 @@
 
     // Retry
 
+    /** Queues a request again after a failed attempt, if the retry budget, its aim and its class allow; otherwise finishes it. */
     private void retry(Request request) {
         // A request that may not be sent to any server is not queued, because it would only take up room in the queue.
         if (now < request.aimAt && retryTokens >= 1 && request.attempts.size() < request.maxAttempts
@@ -766,6 +772,7 @@
     private long retryAfterUs(Request request) {
         double queuedUs = servers.isEmpty() ? refreshPeriodUs
                 : queue.size() / Math.max(concurrencyLimit.answerRate(), 1.0 / refreshPeriodUs);
+        // From 0.75 to 1, by the hash code of the request.
         double jitter = 1 - (mix(request.id.hashCode()) >>> 16) / 262_144.0;
         return (long) (jitter * Math.min(Math.max(concurrencyLimit.targetUs(), queuedUs), settings.limits().maxRetryAfterUs()));
     }
@@ -777,9 +784,9 @@
      * in time.
      */
     private void requestList() {
-        if (settings.limits().listMustBeAsked()) {
+        if (settings.limits().listOnRequest()) {
             actions.accept(new Watch(true));
-            scheduleListRequest(rules.askWithinUs());
+            scheduleListRequest(rules.requestListWithinUs());
         } else {
             listRequestAt = Long.MAX_VALUE;
         }
