--- a/proxy/src/main/java/walkpost/proxy/InheritedListener.java
+++ b/proxy/src/main/java/walkpost/proxy/InheritedListener.java
@@ -22,7 +22,7 @@
      * The limit of connections that are accepted and not yet handled by the event loop. With 1, a busy loop would take one client a turn
      * while the accept queue fills with clients that have given up; a large number would escape the count of open descriptors.
      */
-    static final int AHEAD = 16;
+    static final int MAX_PENDING_HANDOVERS = 16;
 
     private final ServerSocketChannel socket;
     private final EventLoop loop;
@@ -30,7 +30,7 @@
     private final EventLog log = new EventLog("listener");
     private final Consumer<SocketChannel> onAccepted;
     private final Runnable onClosed;
-    private final Semaphore handOverPermits = new Semaphore(AHEAD);
+    private final Semaphore handOverPermits = new Semaphore(MAX_PENDING_HANDOVERS);
     /** Guarded by this object's monitor. */
     private boolean accepting = true;
 
--- a/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
@@ -88,7 +88,7 @@
     void acceptsClientsAheadOfABusyLoop() throws Exception {
         var loop = new DefaultEventLoop();
         var loopMayContinue = new CountDownLatch(1);
-        var admitted = new CountDownLatch(InheritedListener.AHEAD);
+        var admitted = new CountDownLatch(InheritedListener.MAX_PENDING_HANDOVERS);
         var ended = new CountDownLatch(1);
         try (var socket = openListener()) {
             var listener = new InheritedListener(socket, loop, new SystemCallFailureCounter(), client -> admitted.countDown(), ended::countDown);
@@ -100,13 +100,13 @@
                 }
             });
             listener.start();
-            for (int i = 0; i < InheritedListener.AHEAD; i++) {
+            for (int i = 0; i < InheritedListener.MAX_PENDING_HANDOVERS; i++) {
                 RawConnection.connect((InetSocketAddress) socket.getLocalAddress());
             }
-            while (loop.pendingTasks() < InheritedListener.AHEAD && !Thread.currentThread().isInterrupted()) {
+            while (loop.pendingTasks() < InheritedListener.MAX_PENDING_HANDOVERS && !Thread.currentThread().isInterrupted()) {
                 Thread.onSpinWait();
             }
-            assertThat(loop.pendingTasks()).isEqualTo(InheritedListener.AHEAD);
+            assertThat(loop.pendingTasks()).isEqualTo(InheritedListener.MAX_PENDING_HANDOVERS);
             loopMayContinue.countDown();
             admitted.await();
             listener.close();
