--- a/proxy/src/main/java/walkpost/proxy/ExclusionStore.java
+++ b/proxy/src/main/java/walkpost/proxy/ExclusionStore.java
@@ -23,8 +23,8 @@
  * both; a file exists or not, so they need neither locks nor messages between them. Used on the event loop only.
  */
 final class ExclusionStore {
-    /** In bytes of UTF-8. A file name has at most 255 bytes, and Base64 takes four of them for three bytes of an id. */
-    static final int LONGEST_ID = 180;
+    /** The longest id, in bytes of UTF-8. A file name has at most 255 bytes, and Base64 takes four of them for three bytes of an id. */
+    static final int MAX_ID_BYTES = 180;
     /** How often the directory is read. The platform allows 300 ms from a call until no new requests are sent to the server. */
     private static final long SCAN_INTERVAL_MS = 100;
 
@@ -117,7 +117,7 @@
     private void requireKnown(String id) throws ExclusionRejectedException {
         // A server may be known only by an exclusion that another process has stored since the last scan.
         scan();
-        if (id.getBytes(StandardCharsets.UTF_8).length > LONGEST_ID || !allSources.isKnown(id)) {
+        if (id.getBytes(StandardCharsets.UTF_8).length > MAX_ID_BYTES || !allSources.isKnown(id)) {
             throw new ExclusionRejectedException("no such tile server: discovery does not list '" + id + "' and it is not excluded");
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -37,7 +37,7 @@
 final class OperatorEndpoint {
     /** When more callers than this are connected, the one connected longest is closed: it is most likely one that sends nothing. */
     static final int MAX_CALLERS = 16;
-    /** The longest call, with an id of {@link ExclusionStore#LONGEST_ID}. */
+    /** The longest call, with an id of {@link ExclusionStore#MAX_ID_BYTES}. */
     private static final int MAX_LINE_BYTES = 200;
     /** The longest call with, in addition, the ids of two orders of {@link ProxyFleetMember#LONGEST_ORDER} each. */
     private static final int MAX_FLEET_LINE_BYTES = 340;
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -300,8 +300,8 @@
 
     /** Returns why the arguments of a call are invalid, or null if they are valid. */
     private static String invalidArgument(String server, String orderId) {
-        if (lengthInBytes(server) > ExclusionStore.LONGEST_ID) {
-            return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + ExclusionStore.LONGEST_ID + " are allowed";
+        if (lengthInBytes(server) > ExclusionStore.MAX_ID_BYTES) {
+            return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + ExclusionStore.MAX_ID_BYTES + " are allowed";
         }
         return orderId.equals("-") || lengthInBytes(orderId) > LONGEST_ORDER
                 ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + LONGEST_ORDER + " bytes" : null;
--- a/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
+++ b/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
@@ -53,7 +53,7 @@
     void rejectsInvalidCallsAndChangesNothing(String call) throws Exception {
         try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
             assertThat(proxy.callOperator(call)).matches("FAILURE [^\n]+\n");
-            assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.LONGEST_ID + 1) + "\n")).startsWith("FAILURE");
+            assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.MAX_ID_BYTES + 1) + "\n")).startsWith("FAILURE");
             assertThat(proxy.callOperator("exclude " + "x".repeat(5_000) + "\n")).startsWith("FAILURE");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
             assertThat(temp).isEmptyDirectory();
--- a/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
@@ -94,8 +94,8 @@
     void rejectsMalformedCallsWithoutAnOrder(String call) throws Exception {
         try (var proxy = proxy()) {
             assertThat(proxy.callOperator(call)).matches("FAILURE [^\n]+\n");
-            assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.LONGEST_ID + 1) + " fleet o1\n")).startsWith("FAILURE");
-            assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.LONGEST_ID) + " fleet o1" + " ".repeat(200) + "\n"))
+            assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.MAX_ID_BYTES + 1) + " fleet o1\n")).startsWith("FAILURE");
+            assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.MAX_ID_BYTES) + " fleet o1" + " ".repeat(200) + "\n"))
                     .isEqualTo("FAILURE the line is too long\n");
             assertThat(fleet.issuedOrders).isEmpty();
         }
