--- a/proxy/src/main/java/walkpost/proxy/Headers.java
+++ b/proxy/src/main/java/walkpost/proxy/Headers.java
@@ -35,7 +35,7 @@
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
     private static final int MAX_READ_BYTES = 16 * 1024;
     /** Chunks are as large as a read, so that bodies are relayed in the pieces in which they are read. */
-    static final HttpDecoderConfig DECODING = new HttpDecoderConfig().setMaxChunkSize(MAX_READ_BYTES);
+    static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig().setMaxChunkSize(MAX_READ_BYTES);
 
     private Headers() { }
 
--- a/proxy/src/main/java/walkpost/proxy/RequestDecoder.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestDecoder.java
@@ -10,7 +10,7 @@
     private boolean headStarted;
 
     RequestDecoder() {
-        super(Headers.DECODING);
+        super(Headers.DECODER_CONFIG);
     }
 
     /** Returns whether bytes of an incomplete head have arrived; empty lines between requests do not count. */
--- a/proxy/src/main/java/walkpost/proxy/ServerResponseDecoder.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerResponseDecoder.java
@@ -25,7 +25,7 @@
      *                         dropped, and the connection is closed
      */
     ServerResponseDecoder(BooleanSupplier responseExpected) {
-        super(Headers.DECODING);
+        super(Headers.DECODER_CONFIG);
         this.responseExpected = responseExpected;
     }
 
