--- a/proxy/src/main/java/walkpost/proxy/BodyRelay.java
+++ b/proxy/src/main/java/walkpost/proxy/BodyRelay.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * The side that a body is written to. Exactly one of {@link #complete} and {@link #broken} is called, unless the sink is detached or the
-     * relay is cancelled first.
+     * The side that a body is written to. Exactly one of {@link #bodyCompleted} and {@link #bodyAborted} is called, unless the sink is
+     * detached or the relay is cancelled first.
      */
     interface Sink {
         /** Returns the connection that the body is written to. */
@@ -56,7 +56,7 @@
 
     private final ByteBuf start;
     private final Source source;
-    private final BufferBudget buffers;
+    private final BufferBudget bufferBudget;
     private final Deque<ByteBuf> pending = new ArrayDeque<>();
     private int pendingBytes;
     private Sink sink;
@@ -75,13 +75,13 @@
     /**
      * Creates a relay without a sink.
      *
-     * @param start the bytes that have arrived so far; they are already counted in {@code buffers}, and the relay releases them. They can
-     *              be written to one sink after another, until bytes beyond them have been written to one
+     * @param start the bytes that have arrived so far; they are already counted in {@code bufferBudget}, and the relay releases them. They
+     *              can be written to one sink after another, until bytes beyond them have been written to one
      */
-    BodyRelay(ByteBuf start, Source source, BufferBudget buffers) {
+    BodyRelay(ByteBuf start, Source source, BufferBudget bufferBudget) {
         this.start = start;
         this.source = source;
-        this.buffers = buffers;
+        this.bufferBudget = bufferBudget;
     }
 
     // Called by the source
@@ -94,7 +94,7 @@
         }
         pending.add(data);
         pendingBytes += data.readableBytes();
-        buffers.reserve(data.readableBytes());
+        bufferBudget.reserve(data.readableBytes());
         transfer();
     }
 
@@ -167,14 +167,14 @@
             finish();
             lastSink.bodyCompleted(trailers);
         } else if (!finished) {
-            int limitBytes = buffers.isExhausted() ? 0 : HIGH_WATER_MARK_BYTES;
+            int limitBytes = bufferBudget.isExhausted() ? 0 : HIGH_WATER_MARK_BYTES;
             setReading(pendingBytes <= (reading ? limitBytes : limitBytes / 2));
         }
     }
 
     /**
-     * Writes until the sink is full. Flushes may make room at once, so the sink is asked again after each; a call of {@link #transfer} by the
-     * sink is ignored meanwhile.
+     * Writes until the sink is full. Flushes may make room at once, so the sink is asked again after each; a call of {@link #transfer} by
+     * the sink is ignored meanwhile.
      */
     private void writePending() {
         while (canWrite()) {
@@ -202,7 +202,7 @@
         }
         ByteBuf data = pending.remove();
         pendingBytes -= data.readableBytes();
-        buffers.release(data.readableBytes());
+        bufferBudget.release(data.readableBytes());
         return data;
     }
 
@@ -214,7 +214,7 @@
     }
 
     private void releaseStart() {
-        buffers.release(start.readableBytes());
+        bufferBudget.release(start.readableBytes());
         start.release();
     }
 
@@ -227,7 +227,7 @@
         }
         pending.forEach(ByteBuf::release);
         pending.clear();
-        buffers.release(pendingBytes);
+        bufferBudget.release(pendingBytes);
         pendingBytes = 0;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/ClientConnection.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientConnection.java
@@ -63,7 +63,7 @@
     ClientConnection(Frontend frontend, LingeringClose closing, boolean mayHaveWaited) {
         this.frontend = frontend;
         this.closing = closing;
-        this.pipelined = new PipelinedRequests(frontend.buffers);
+        this.pipelined = new PipelinedRequests(frontend.bufferBudget);
         this.mayHaveUnreadClose = mayHaveWaited;
     }
 
@@ -90,7 +90,7 @@
         lastReadAtUs = frontend.lagMonitor().earliestArrivalUs();
         if (!isReceivingRequest()) {
             startHeadTimer();
-            frontend.sockets.setClientIdle(closing, false);
+            frontend.connectionBudget.setClientIdle(closing, false);
         }
         super.channelRead(ctx, message);
         if (closing.isStarted()) {
@@ -135,7 +135,7 @@
             closing.start();
         } else if (hadRequest) {
             // A new connection is not marked idle here: its first request may be waiting unread and is still to be served.
-            frontend.sockets.setClientIdle(closing, true);
+            frontend.connectionBudget.setClientIdle(closing, true);
         }
     }
 
@@ -164,7 +164,7 @@
 
     private void silenceElapsed() {
         if (!hadRequest && !isReceivingRequest()) {
-            frontend.sockets.setClientIdle(closing, true);
+            frontend.connectionBudget.setClientIdle(closing, true);
         }
         receiveTimer = channel.eventLoop().schedule(this::headTimedOut, RECEIVE_TIMEOUT_MS - SILENT_MS, TimeUnit.MILLISECONDS);
     }
--- a/proxy/src/main/java/walkpost/proxy/ClientExchange.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientExchange.java
@@ -84,20 +84,20 @@
             String target = RequestHeadValidator.originForm(head.uri());
             var uri = new QueryStringDecoder(target);
             if (uri.rawPath().equals("/ready")) {
-                respond(frontend.isReady() ? Frontend.textResponse(HttpResponseStatus.OK, "ready")
+                sendResponse(frontend.isReady() ? Frontend.textResponse(HttpResponseStatus.OK, "ready")
                         : Frontend.textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready"));
                 return;
             }
             incoming = incoming(target, uri);
         } catch (RejectedRequestException e) {
-            respond(Frontend.textResponse(e.status, e.getMessage()));
+            sendResponse(Frontend.textResponse(e.status, e.getMessage()));
             return;
         } catch (IllegalArgumentException e) {
-            respond(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "malformed request target"));
+            sendResponse(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "malformed request target"));
             return;
         }
         id = incoming.id();
-        frontend.proxy.requestArrived(incoming, this);
+        frontend.balancerDriver.requestArrived(incoming, this);
     }
 
     /** Relays the next piece of a long request body; the relay releases it. */
@@ -111,7 +111,7 @@
         arrivedAtUs = connection.lastReadAtUs();
         requestRelay.complete(trailers);
         if (id != null) {
-            frontend.proxy.requestFullyReceived(id, deadlineUs());
+            frontend.balancerDriver.requestFullyReceived(id, deadlineUs());
         }
     }
 
@@ -152,7 +152,7 @@
             }
         }
         String requestId = header(headers, Headers.REQUEST_ID);
-        if (frontend.proxy.hasRequest(requestId)) {
+        if (frontend.balancerDriver.hasRequest(requestId)) {
             throw new RejectedRequestException(HttpResponseStatus.CONFLICT,
                     "another request with the same " + Headers.REQUEST_ID + " is in progress");
         }
@@ -186,11 +186,11 @@
     }
 
     @Override
-    public void respond(ServerConnections.BufferedResponse served) {
-        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, served.body());
-        Headers.copyEndToEnd(served.headers(), response.headers());
-        HttpUtil.setContentLength(response, served.body().readableBytes());
-        respond(response);
+    public void respond(ServerConnections.BufferedResponse serverResponse) {
+        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, serverResponse.body());
+        Headers.copyEndToEnd(serverResponse.headers(), response.headers());
+        HttpUtil.setContentLength(response, serverResponse.body().readableBytes());
+        sendResponse(response);
     }
 
     @Override
@@ -200,15 +200,15 @@
         if (retryAfterUs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6));
         }
-        respond(response);
+        sendResponse(response);
     }
 
     @Override
     public void fail() {
-        respond(Frontend.textResponse(HttpResponseStatus.BAD_GATEWAY, "the request failed; it may have taken effect"));
+        sendResponse(Frontend.textResponse(HttpResponseStatus.BAD_GATEWAY, "the request failed; it may have taken effect"));
     }
 
-    private void respond(FullHttpResponse response) {
+    private void sendResponse(FullHttpResponse response) {
         if (!connection.isCurrent(this)) {
             response.release();
             return;
@@ -232,19 +232,19 @@
     }
 
     @Override
-    public void respondStreaming(ServerConnections.StreamedResponse stream) {
+    public void respondStreaming(ServerConnections.StreamedResponse serverResponse) {
         if (!connection.isCurrent(this) || !requestComplete) {
             // A response cannot be relayed while its request is still being received.
-            stream.body().cancel();
+            serverResponse.body().cancel();
             fail();
             return;
         }
         release();
         keepAlive = keepsConnectionAlive();
         var response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        Headers.copyEndToEnd(stream.headers(), response.headers());
-        if (stream.length() >= 0) {
-            HttpUtil.setContentLength(response, stream.length());
+        Headers.copyEndToEnd(serverResponse.headers(), response.headers());
+        if (serverResponse.length() >= 0) {
+            HttpUtil.setContentLength(response, serverResponse.length());
         } else if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
             keepAlive = false;
         } else {
@@ -252,7 +252,7 @@
         }
         HttpUtil.setKeepAlive(response, keepAlive);
         connection.channel().write(response);
-        responseRelay = stream.body();
+        responseRelay = serverResponse.body();
         responseRelay.relayTo(this);
     }
 
@@ -300,7 +300,7 @@
         }
         released = true;
         if (requestRelay == null) {
-            frontend.buffers.release(body.readableBytes());
+            frontend.bufferBudget.release(body.readableBytes());
             body.release();
         } else {
             requestRelay.abort();
@@ -322,7 +322,7 @@
         if (requestComplete && responseRelay == null) {
             fail();
             if (id != null) {
-                frontend.proxy.clientDisconnected(id);
+                frontend.balancerDriver.clientDisconnected(id);
             }
         }
     }
@@ -341,7 +341,7 @@
         if (responseRelay != null) {
             responseRelay.cancel();
         } else if (id != null) {
-            frontend.proxy.clientDisconnected(id);
+            frontend.balancerDriver.clientDisconnected(id);
         }
         release();
     }
--- a/proxy/src/main/java/walkpost/proxy/ExcludedServers.java
+++ b/proxy/src/main/java/walkpost/proxy/ExcludedServers.java
@@ -10,24 +10,24 @@
  * is in use again once no source excludes it. Used on the event loop only.
  */
 final class ExcludedServers {
-    private final BalancerDriver proxy;
+    private final BalancerDriver balancerDriver;
     /** The sources that exclude a server, by its id; a server in use has no entry. */
     private final Map<String, Set<ExclusionStore>> sourcesById = new HashMap<>();
 
-    ExcludedServers(BalancerDriver proxy) {
-        this.proxy = proxy;
+    ExcludedServers(BalancerDriver balancerDriver) {
+        this.balancerDriver = balancerDriver;
     }
 
     /** Returns whether a server is listed by discovery or excluded, so that operators may name it. */
     boolean isKnown(String id) {
-        return proxy.isKnownServer(id);
+        return balancerDriver.isKnownServer(id);
     }
 
     /** Adds a source's exclusion of a server. */
     void exclude(String id, ExclusionStore source) {
         Set<ExclusionStore> sources = sourcesById.computeIfAbsent(id, i -> new HashSet<>(2));
         if (sources.add(source) && sources.size() == 1) {
-            proxy.excludeServer(id);
+            balancerDriver.excludeServer(id);
         }
     }
 
@@ -41,7 +41,7 @@
             return false;
         }
         sourcesById.remove(id);
-        proxy.includeServer(id);
+        balancerDriver.includeServer(id);
         return true;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Frontend.java
+++ b/proxy/src/main/java/walkpost/proxy/Frontend.java
@@ -36,9 +36,9 @@
     private static final int ACCEPT_QUEUE_LENGTH = 1_024;
 
     final EventLog log = new EventLog("frontend");
-    final BalancerDriver proxy;
-    final ConnectionBudget sockets;
-    final BufferBudget buffers;
+    final BalancerDriver balancerDriver;
+    final ConnectionBudget connectionBudget;
+    final BufferBudget bufferBudget;
     private final BooleanSupplier upstreamReady;
     private AdmissionRules admissionRules;
     private final Set<ClientConnection> connections = new HashSet<>();
@@ -54,10 +54,11 @@
      *
      * @param upstreamReady whether the proxy has servers to send requests to
      */
-    Frontend(BalancerDriver proxy, ConnectionBudget sockets, BufferBudget buffers, Balancer.Settings settings, BooleanSupplier upstreamReady) {
-        this.proxy = proxy;
-        this.sockets = sockets;
-        this.buffers = buffers;
+    Frontend(BalancerDriver balancerDriver, ConnectionBudget connectionBudget, BufferBudget bufferBudget, Balancer.Settings settings,
+            BooleanSupplier upstreamReady) {
+        this.balancerDriver = balancerDriver;
+        this.connectionBudget = connectionBudget;
+        this.bufferBudget = bufferBudget;
         this.upstreamReady = upstreamReady;
         this.admissionRules = AdmissionRules.of(settings);
     }
@@ -134,9 +135,9 @@
     }
 
     private void startListener(ClientListener delegate) {
-        proxy.loopMonitor().start();
-        listener = new AcceptQueueMonitor(proxy.loopMonitor(), delegate);
-        sockets.setListener(listener);
+        balancerDriver.loopMonitor().start();
+        listener = new AcceptQueueMonitor(balancerDriver.loopMonitor(), delegate);
+        connectionBudget.setListener(listener);
     }
 
     /** Sets up the channel of each accepted client. */
@@ -145,17 +146,17 @@
         protected void initChannel(Channel channel) {
             // Must precede clientOpened, which may pause the listener: clients accepted after that count as having waited.
             boolean mayHaveWaited = listener.accepted();
-            var closing = new LingeringClose(channel, sockets);
-            sockets.clientOpened(closing);
+            var closing = new LingeringClose(channel, connectionBudget);
+            connectionBudget.clientOpened(closing);
             channel.config().setRecvByteBufAllocator(Headers.readBufferAllocator());
             channel.config().setWriteBufferWaterMark(Headers.WATER_MARK);
             channel.pipeline().addLast(new ClientConnection(Frontend.this, closing, mayHaveWaited));
         }
     }
 
-    /** Returns the monitor that tells how late the event loop may be with reading its sockets. */
+    /** Returns the monitor that tells how late the event loop may be with reading its connectionBudget. */
     EventLoopLagMonitor lagMonitor() {
-        return proxy.loopMonitor();
+        return balancerDriver.loopMonitor();
     }
 
     /** Returns the rules that are in force now. */
--- a/proxy/src/main/java/walkpost/proxy/Headers.java
+++ b/proxy/src/main/java/walkpost/proxy/Headers.java
@@ -48,11 +48,11 @@
      * Appends the next bytes of a body to those collected so far, and returns the buffer that holds both. The bytes are copied, because a
      * retained slice would keep the whole buffer of its read in memory.
      */
-    static ByteBuf appendBody(ByteBuf body, ByteBuf next, ByteBufAllocator allocator, BufferBudget buffers) {
+    static ByteBuf appendBody(ByteBuf body, ByteBuf next, ByteBufAllocator allocator, BufferBudget bufferBudget) {
         if (!next.isReadable()) {
             return body;
         }
-        buffers.reserve(next.readableBytes());
+        bufferBudget.reserve(next.readableBytes());
         ByteBuf target = body == Unpooled.EMPTY_BUFFER ? allocator.buffer(next.readableBytes()) : body;
         return target.writeBytes(next, next.readerIndex(), next.readableBytes());
     }
--- a/proxy/src/main/java/walkpost/proxy/IdleConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/IdleConnections.java
@@ -22,7 +22,7 @@
     private static final long SETTLING_US = 20_000;
 
     private final LongSupplier clock;
-    private final ConnectionBudget sockets;
+    private final ConnectionBudget connectionBudget;
     /** Ordered by the start of the idle time, the longest idle first. */
     private final Deque<IdleConnection> idle = new ArrayDeque<>();
     private final ByteBuffer probeBuffer = ByteBuffer.allocateDirect(1);
@@ -32,9 +32,9 @@
      *
      * @param clock in microseconds
      */
-    IdleConnections(LongSupplier clock, ConnectionBudget sockets) {
+    IdleConnections(LongSupplier clock, ConnectionBudget connectionBudget) {
         this.clock = clock;
-        this.sockets = sockets;
+        this.connectionBudget = connectionBudget;
     }
 
     boolean isEmpty() {
@@ -43,7 +43,7 @@
 
     void add(Channel channel) {
         idle.addLast(new IdleConnection(channel, clock.getAsLong()));
-        sockets.setServerConnectionIdle(channel, true);
+        connectionBudget.setServerConnectionIdle(channel, true);
     }
 
     /**
@@ -56,7 +56,7 @@
     Channel take(long maxIdleUs) {
         while (!idle.isEmpty()) {
             IdleConnection next = removeNext();
-            sockets.setServerConnectionIdle(next.channel(), false);
+            connectionBudget.setServerConnectionIdle(next.channel(), false);
             if (clock.getAsLong() - next.sinceUs() <= maxIdleUs && next.channel().isActive() && hasNoUnreadInput(next.channel())) {
                 return next.channel();
             }
@@ -107,7 +107,7 @@
     void close() {
         while (!idle.isEmpty()) {
             Channel channel = idle.removeLast().channel();
-            sockets.setServerConnectionIdle(channel, false);
+            connectionBudget.setServerConnectionIdle(channel, false);
             channel.close();
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/LingeringClose.java
+++ b/proxy/src/main/java/walkpost/proxy/LingeringClose.java
@@ -25,12 +25,12 @@
     }
 
     private final Channel channel;
-    private final ConnectionBudget sockets;
+    private final ConnectionBudget connectionBudget;
     private State state = State.OPEN;
 
-    LingeringClose(Channel channel, ConnectionBudget sockets) {
+    LingeringClose(Channel channel, ConnectionBudget connectionBudget) {
         this.channel = channel;
-        this.sockets = sockets;
+        this.connectionBudget = connectionBudget;
     }
 
     Channel channel() {
@@ -48,7 +48,7 @@
             return;
         }
         state = State.WRITING;
-        sockets.setClientIdle(this, false);
+        connectionBudget.setClientIdle(this, false);
         ChannelFuture written = channel.writeAndFlush(Unpooled.EMPTY_BUFFER);
         // Reading pauses until the writes are flushed, because a client that sends but does not read would otherwise never count as idle.
         channel.config().setAutoRead(written.isDone());
@@ -61,7 +61,7 @@
         }
         state = State.LINGERING;
         channel.config().setAutoRead(true);
-        sockets.clientLingering(this);
+        connectionBudget.clientLingering(this);
         if (channel instanceof DuplexChannel duplex) {
             duplex.shutdownOutput();
         }
--- a/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
+++ b/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
@@ -15,12 +15,12 @@
     /** A request, and the bytes that it counts for. */
     private record QueuedExchange(ClientExchange exchange, int sizeBytes) { }
 
-    private final BufferBudget buffers;
+    private final BufferBudget bufferBudget;
     private final Queue<QueuedExchange> queue = new ArrayDeque<>(0);
     private int queuedBytes;
 
-    PipelinedRequests(BufferBudget buffers) {
-        this.buffers = buffers;
+    PipelinedRequests(BufferBudget bufferBudget) {
+        this.bufferBudget = bufferBudget;
     }
 
     boolean isEmpty() {
@@ -30,12 +30,12 @@
     /** Queues a request; returns false if there is no room for it. */
     boolean offer(ClientExchange next) {
         int sizeBytes = next.queuedSizeBytes();
-        if (buffers.isExhausted() || queuedBytes + sizeBytes > MAX_BYTES) {
+        if (bufferBudget.isExhausted() || queuedBytes + sizeBytes > MAX_BYTES) {
             return false;
         }
         queue.add(new QueuedExchange(next, sizeBytes));
         queuedBytes += sizeBytes;
-        buffers.reserve(sizeBytes);
+        bufferBudget.reserve(sizeBytes);
         return true;
     }
 
@@ -67,7 +67,7 @@
 
     private ClientExchange removed(QueuedExchange queued) {
         queuedBytes -= queued.sizeBytes;
-        buffers.release(queued.sizeBytes);
+        bufferBudget.release(queued.sizeBytes);
         return queued.exchange;
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
@@ -49,8 +49,8 @@
         connection.bodyBytesReceived(bytes.readableBytes());
         awaitsContinue &= !bytes.isReadable();
         if (startedExchange == null && bytes.isReadable()
-                && (body.readableBytes() + bytes.readableBytes() > ServerConnections.MAX_BODY || frontend.buffers.isExhausted())) {
-            var relay = new BodyRelay(body, this, frontend.buffers);
+                && (body.readableBytes() + bytes.readableBytes() > ServerConnections.MAX_BODY || frontend.bufferBudget.isExhausted())) {
+            var relay = new BodyRelay(body, this, frontend.bufferBudget);
             body = Unpooled.EMPTY_BUFFER;
             startedExchange = new ClientExchange(frontend, connection, head, rulesAtArrival, body, relay);
             connection.startOrQueue(startedExchange);
@@ -58,7 +58,7 @@
         if (startedExchange != null) {
             startedExchange.relayRequestBody(bytes.retain());
         } else {
-            body = Headers.appendBody(body, bytes, connection.channel().alloc(), frontend.buffers);
+            body = Headers.appendBody(body, bytes, connection.channel().alloc(), frontend.bufferBudget);
         }
         if (content instanceof LastHttpContent last && connection.isReceiving(this)) {
             connection.requestCompleted();
@@ -80,7 +80,7 @@
     }
 
     void release() {
-        frontend.buffers.release(body.readableBytes());
+        frontend.bufferBudget.release(body.readableBytes());
         body.release();
     }
 
--- a/proxy/src/test/java/walkpost/proxy/ExclusionStoreTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ExclusionStoreTest.java
@@ -28,9 +28,10 @@
     void anUnreadableDirectoryEndsNoExclusion() throws Exception {
         channel.freezeTime();
         Path directory = tempDirectory.resolve("excluded");
-        var backends = new ServerConnections(new ProxyClock(), channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256), new BufferBudget(1 << 20), 1, 1);
-        var proxy = new BalancerDriver(new ProxyClock(), channel.eventLoop(), (now, event, actions) -> events.add(event), backends);
-        var exclusions = new ExclusionStore(channel.eventLoop(), new ExcludedServers(proxy), directory, "operators");
+        var connections = new ServerConnections(new ProxyClock(), channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256),
+                new BufferBudget(1 << 20), 1, 1);
+        var driver = new BalancerDriver(new ProxyClock(), channel.eventLoop(), (now, event, actions) -> events.add(event), connections);
+        var exclusions = new ExclusionStore(channel.eventLoop(), new ExcludedServers(driver), directory, "operators");
         exclusions.start();
         exclusions.apply("s0", true);
         Path movedAway = Files.move(directory, tempDirectory.resolve("aside"));
--- a/proxy/src/test/java/walkpost/proxy/FrontendTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FrontendTest.java
@@ -20,10 +20,10 @@
     @Test
     void forwardsRequestAndResponseUnchanged() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.response("200 OK", "an\r\n\r\nswer", "Content-Type: a/b",
-                    "Connection: X-Hop", "X-Hop: 1"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.response("200 OK", "an\r\n\r\nswer",
+                    "Content-Type: a/b", "Connection: X-Hop", "X-Hop: 1"));
             RawConnection.Message response = client.send(ProxyFixture.post("r1", "bo\r\n\0dy")).read();
-            RawConnection.Message request = FakeServer.takeNext(seen);
+            RawConnection.Message request = FakeServer.takeNext(received);
             assertThat(request.first()).isEqualTo("POST /api?k=u%201&x HTTP/1.1");
             assertThat(request.body()).isEqualTo("bo\r\n\0dy");
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
@@ -103,9 +103,9 @@
     void forwardsTheLongestBodiesThatAreCollected() throws Exception {
         String body = "0123456789abcdef".repeat(4_096);
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse(body));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse(body));
             assertThat(client.send(ProxyFixture.post("r1", body)).read().body()).isEqualTo(body);
-            assertThat(FakeServer.takeNext(seen).body()).isEqualTo(body);
+            assertThat(FakeServer.takeNext(received).body()).isEqualTo(body);
         }
     }
 
--- a/proxy/src/test/java/walkpost/proxy/LingeringCloseTest.java
+++ b/proxy/src/test/java/walkpost/proxy/LingeringCloseTest.java
@@ -182,9 +182,9 @@
         }
     }
 
-    private static void send(RawConnection wire, String text) {
+    private static void send(RawConnection connection, String text) {
         try {
-            wire.send(text);
+            connection.send(text);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
+++ b/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
@@ -20,7 +20,7 @@
 /** Tests the calls of the operator endpoint and their effect on the proxy. */
 class OperatorEndpointTest {
     @TempDir
-    private Path temp;
+    private Path tempDirectory;
 
     private static void assertAnswer(RawConnection caller, String firstWord) throws Exception {
         assertThat(caller.readToEnd()).startsWith(firstWord).endsWith("\n");
@@ -38,7 +38,7 @@
             if (event instanceof Arrival) {
                 actions.accept(new Watch(true));
             }
-        }, temp, server); var client = proxy.client()) {
+        }, tempDirectory, server); var client = proxy.client()) {
             callUntilAnswered(proxy, "readyz\n", "SUCCESS");
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(200);
             assertThat(proxy.callOperator("exclude s0\r\n")).startsWith("SUCCESS");
@@ -51,20 +51,21 @@
     @ValueSource(strings = {"\n", "reboot\n", "READYZ\n", "readyz now\n", "exclude\n", "exclude s0 s0\n", "exclude nobody\n",
         "include nobody\n", "include\n", "exclude s0\0\n", "exclude \u00ff\u00fe\n", "telemetry\n"})
     void rejectsInvalidCallsAndChangesNothing(String call) throws Exception {
-        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
             assertThat(proxy.callOperator(call)).matches("FAILURE [^\n]+\n");
             assertThat(proxy.callOperator("exclude " + "x".repeat(ExclusionStore.MAX_ID_BYTES + 1) + "\n")).startsWith("FAILURE");
             assertThat(proxy.callOperator("exclude " + "x".repeat(5_000) + "\n")).startsWith("FAILURE");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
-            assertThat(temp).isEmptyDirectory();
+            assertThat(tempDirectory).isEmptyDirectory();
         }
     }
 
     /** A line that is cut off could name another server than the complete one, so it must not be carried out. */
     @Test
     void anIncompleteLineIsNotCarriedOut() throws Exception {
-        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server);
-                var halfClosed = proxy.operatorConnection(); var silent = proxy.operatorConnection(); var incomplete = proxy.operatorConnection()) {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server);
+                var halfClosed = proxy.operatorConnection(); var silent = proxy.operatorConnection();
+                var incomplete = proxy.operatorConnection()) {
             incomplete.send("exclude s0");
             halfClosed.send("exclude s0").shutdownOutput();
             assertAnswer(halfClosed, "FAILURE");
@@ -78,15 +79,15 @@
     @Test
     void silentCallersDoNotBlockTheNextOne() throws Exception {
         var silent = new ArrayList<RawConnection>();
-        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
             for (int i = 0; i < 4 * OperatorEndpoint.MAX_CALLERS; i++) {
                 silent.add(proxy.operatorConnection());
             }
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
             assertThat(silent.get(0).awaitClose()).isTrue();
         } finally {
-            for (RawConnection wire : silent) {
-                wire.close();
+            for (RawConnection connection : silent) {
+                connection.close();
             }
         }
     }
@@ -94,14 +95,14 @@
     /** One include undoes any number of excludes, and the module is notified of each change once. */
     @Test
     void notifiesTheModuleOnceAndStoresTheExclusion() throws Exception {
-        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
-            try (var files = Files.list(temp.resolve("excluded"))) {
+            try (var files = Files.list(tempDirectory.resolve("excluded"))) {
                 assertThat(files).hasSize(1);
             }
             assertThat(proxy.callOperator("include s0\n")).startsWith("SUCCESS");
-            assertThat(temp.resolve("excluded")).isEmptyDirectory();
+            assertThat(tempDirectory.resolve("excluded")).isEmptyDirectory();
             assertThat(proxy.events.stream().filter(e -> e instanceof Excluded || e instanceof Included))
                     .containsExactly(new Excluded("s0"), new Included("s0"));
         }
@@ -113,10 +114,10 @@
      */
     @Test
     void aCallToOneProcessAppliesToTheOther() throws Exception {
-        try (var server = new FakeServer(); var oldProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+        try (var server = new FakeServer(); var oldProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
             assertThat(oldProcess.callOperator("exclude s0\n")).startsWith("SUCCESS");
-            Files.createFile(temp.resolve("excluded").resolve("not an exclusion~"));
-            try (var newProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+            Files.createFile(tempDirectory.resolve("excluded").resolve("not an exclusion~"));
+            try (var newProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
                 assertThat(newProcess.nextEvent(Excluded.class)).isEqualTo(new Excluded("s0"));
                 assertThat(newProcess.callOperator("include s0\n")).startsWith("SUCCESS");
                 assertThat(oldProcess.nextEvent(Included.class)).isEqualTo(new Included("s0"));
@@ -128,8 +129,8 @@
 
     @Test
     void anExclusionThatCannotBeStoredIsRejected() throws Exception {
-        Files.createFile(temp.resolve("excluded"));
-        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
+        Files.createFile(tempDirectory.resolve("excluded"));
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("FAILURE");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
         }
@@ -142,7 +143,7 @@
             if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
             }
-        }, temp, server); var one = proxy.client(); var two = proxy.client()) {
+        }, tempDirectory, server); var one = proxy.client(); var two = proxy.client()) {
             one.send(ProxyFixture.get("r1"));
             RawConnection attempt = server.accept();
             attempt.read();
@@ -160,7 +161,8 @@
     /** Uses the real balancing module with two servers, one of which is excluded and then included again. */
     @Test
     void theOtherServerServesDuringAnExclusion() throws Exception {
-        try (var excluded = new FakeServer(); var other = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint(null, temp, excluded, other);
+        try (var excluded = new FakeServer(); var other = new FakeServer();
+                var proxy = ProxyFixture.withOperatorEndpoint(null, tempDirectory, excluded, other);
                 var client = proxy.client()) {
             excluded.answerAll(FakeServer.okResponse("excluded"));
             other.answerAll(FakeServer.okResponse("other"));
--- a/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
@@ -38,10 +38,10 @@
     }
 
     /** Sends from another thread, because back-pressure may block the sender. */
-    private static void sendInBackground(RawConnection wire, String text) {
+    private static void sendInBackground(RawConnection connection, String text) {
         CompletableFuture.runAsync(() -> {
             try {
-                wire.send(text);
+                connection.send(text);
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -51,10 +51,10 @@
     @Test
     void relaysALongRequestAndStartsItsDeadlineAtItsEnd() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             sendInBackground(client, ProxyFixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
-            RawConnection.Message request = FakeServer.takeNext(seen);
+            RawConnection.Message request = FakeServer.takeNext(received);
             assertThat(request.body()).isEqualTo(LONG);
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
             assertThat(proxy.nextEvent(Balancer.RequestStreamStarted.class)).isEqualTo(new Balancer.RequestStreamStarted("r1", 0));
@@ -180,10 +180,10 @@
                 actions.accept(new Send(e.id(), "s1", 0));
             }
         }, unreachable, server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             sendInBackground(client, ProxyFixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
-            assertThat(FakeServer.takeNext(seen).body()).isEqualTo(LONG);
+            assertThat(FakeServer.takeNext(received).body()).isEqualTo(LONG);
         }
     }
 
@@ -241,20 +241,20 @@
     @Test
     void sendsContinueToAClientThatExpectsIt() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             String request = ProxyFixture.post("r1", "body").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
             assertThat(client.send(request).readHead().status()).isEqualTo(100);
             assertThat(client.send("body").read().body()).isEqualTo("made");
-            assertThat(FakeServer.takeNext(seen).header("Expect")).isNull();
+            assertThat(FakeServer.takeNext(received).header("Expect")).isNull();
         }
     }
 
     @Test
     void forwardsATargetWithoutSchemeAndHost() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             client.send(ProxyFixture.get("r1").replace("GET /api", "GET http://service.internal/api")).read();
-            assertThat(FakeServer.takeNext(seen).first()).isEqualTo("GET /api?k=u1 HTTP/1.1");
+            assertThat(FakeServer.takeNext(received).first()).isEqualTo("GET /api?k=u1 HTTP/1.1");
         }
     }
 
