--- a/proxy/src/main/java/walkpost/proxy/ClientExchange.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientExchange.java
@@ -62,7 +62,7 @@
      * Creates the exchange of a request; {@link #begin} starts it.
      *
      * @param rulesAtArrival the admission rules that were in force when the request's head arrived
-     * @param body the whole body, which the exchange releases; unused if there is a relay
+     * @param body the whole body, which the exchange releases; empty if there is a relay
      * @param requestRelay the relay of a body that is still arriving, or null
      */
     ClientExchange(Frontend frontend, ClientConnection connection, HttpRequest head, Frontend.AdmissionRules rulesAtArrival, ByteBuf body,
--- a/proxy/src/main/java/walkpost/proxy/Frontend.java
+++ b/proxy/src/main/java/walkpost/proxy/Frontend.java
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Returns the monitor that tells how late the event loop may be with reading its connectionBudget. */
+    /** Returns the monitor that tells how late the event loop may be with reading its sockets. */
     EventLoopLagMonitor lagMonitor() {
         return balancerDriver.loopMonitor();
     }
@@ -197,7 +197,7 @@
         return listener != null && !draining && upstreamReady.getAsBoolean();
     }
 
-    /** Closes the listener, or the one that is still being bound. */
+    /** Closes the listener, at once or as soon as it is bound. */
     void stopListening() {
         stopped = true;
         if (listener != null) {
--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -114,18 +114,18 @@
                 new Call("orders", MAX_LINE_BYTES, words -> fleet().describeOrders()),
                 new Call("facts TOPIC", MAX_LINE_BYTES, words -> fleet().describeEntries(words[1])),
                 new Call("held ID ORDER", MAX_FLEET_LINE_BYTES, words -> fleet().describeOrderCoverage(words[1], words[2])),
-                new Call("exclude ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, true)),
-                new Call("include ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, false)));
+                new Call("exclude ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> issueOrder(words, true)),
+                new Call("include ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> issueOrder(words, false)));
     }
 
-    private CompletionStage<String> order(String[] words, boolean excluded) throws InvalidCallException {
-        return fleet().issueOrder(words[1], excluded, words[3], words.length > 4 ? words[4] : null);
+    private CompletionStage<String> issueOrder(String[] words, boolean exclude) throws InvalidCallException {
+        return fleet().issueOrder(words[1], exclude, words[3], words.length > 4 ? words[4] : null);
     }
 
     private FleetAccess fleet() throws InvalidCallException {
         if (fleet == null) {
             throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + ProcessEnvironment.FLEET
-                    + " is not set");
+                    + " must name the fleet's file");
         }
         return fleet;
     }
--- a/proxy/src/test/java/walkpost/proxy/ConnectionRaceTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ConnectionRaceTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Cancel;
@@ -36,7 +35,7 @@
             RawConnection attempt = server.accept();
             attempt.read();
             attempt.send(LONG_RESPONSE);
-            proxy.nextEvent(Balancer.ResponseStreamStarted.class);
+            proxy.nextEvent(ResponseStreamStarted.class);
             reset(attempt);
             assertThatThrownBy(client::readChunked).isInstanceOf(IOException.class);
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
@@ -73,7 +72,7 @@
     @Test
     void aCancellationDoesNotCompleteAResponse() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
-            if (event instanceof Balancer.ResponseStreamStarted s) {
+            if (event instanceof ResponseStreamStarted s) {
                 actions.accept(new Cancel(s.id(), s.attempt()));
             } else if (event instanceof Arrival a) {
                 actions.accept(new Send(a.id(), "s0", 0));
@@ -226,7 +225,7 @@
             RawConnection attempt = server.accept();
             attempt.read();
             attempt.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + "x".repeat(70_000) + "\r\n");
-            proxy.nextEvent(Balancer.ResponseStreamStarted.class);
+            proxy.nextEvent(ResponseStreamStarted.class);
             attempt.send("zz\r\nmade\r\n0\r\n\r\n");
             assertThatThrownBy(client::readChunked).isInstanceOf(IOException.class);
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
--- a/proxy/src/test/java/walkpost/proxy/FrontendTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FrontendTest.java
@@ -46,14 +46,14 @@
     /** The cost estimate is optional, so a malformed one counts as absent and does not reject the request. */
     @ParameterizedTest
     @CsvSource({"X-Cost: 18500,18500", "X-Cost: -3,0", "X-Cost: much,0", "X-Cost: 99999999999,0", "X-Other: 1,0"})
-    void passesTheCostEstimateToTheModule(String header, long costUs) throws Exception {
+    void passesTheCostEstimateToTheBalancer(String header, long costUs) throws Exception {
         try (var proxy = new ProxyFixture(INACTIVE); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1").replace("X-Tenant-Id", header + "\r\nX-Tenant-Id"));
             assertThat(proxy.nextEvent(Arrival.class).costUs()).isEqualTo(costUs);
         }
     }
 
-    /** An invalid request reaches neither a server nor the module. */
+    /** An invalid request reaches neither a server nor the balancer. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "X-Priority-Class: read|X-Priority-Class: write|400",
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void notifiesTheModuleThatAClientHasGone() throws Exception {
+    void notifiesTheBalancerThatAClientHasGone() throws Exception {
         try (var proxy = new ProxyFixture(INACTIVE)) {
             try (var client = proxy.client()) {
                 client.send(ProxyFixture.get("r1"));
@@ -201,7 +201,7 @@
         }
     }
 
-    /** Each pipelined request gets one response, in order; a second decision of the module about a request is ignored. */
+    /** Each pipelined request gets one response, in order; a second decision of the balancer about a request is ignored. */
     @Test
     void answersInOrderAndOnce() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {
--- a/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
+++ b/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
@@ -92,9 +92,9 @@
         }
     }
 
-    /** One include undoes any number of excludes, and the module is notified of each change once. */
+    /** One include undoes any number of excludes, and the balancer is notified of each change once. */
     @Test
-    void notifiesTheModuleOnceAndStoresTheExclusion() throws Exception {
+    void notifiesTheBalancerOnceAndStoresTheExclusion() throws Exception {
         try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
@@ -114,7 +114,8 @@
      */
     @Test
     void aCallToOneProcessAppliesToTheOther() throws Exception {
-        try (var server = new FakeServer(); var oldProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
+        try (var server = new FakeServer();
+                var oldProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
             assertThat(oldProcess.callOperator("exclude s0\n")).startsWith("SUCCESS");
             Files.createFile(tempDirectory.resolve("excluded").resolve("not an exclusion~"));
             try (var newProcess = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, tempDirectory, server)) {
@@ -136,7 +137,7 @@
         }
     }
 
-    /** As for a draining server: a request that has been sent may finish, and the module cannot send new ones. */
+    /** As for a draining server: requests that were sent may finish, those not yet sent are stopped, and the balancer can send no new ones. */
     @Test
     void noNewRequestIsSentToAnExcludedServer() throws Exception {
         try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> {
@@ -158,7 +159,7 @@
         }
     }
 
-    /** Uses the real balancing module with two servers, one of which is excluded and then included again. */
+    /** Uses the real balancer with two servers, one of which is excluded and then included again. */
     @Test
     void theOtherServerServesDuringAnExclusion() throws Exception {
         try (var excluded = new FakeServer(); var other = new FakeServer();
--- a/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Fail;
@@ -57,8 +56,8 @@
             RawConnection.Message request = FakeServer.takeNext(received);
             assertThat(request.body()).isEqualTo(LONG);
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
-            assertThat(proxy.nextEvent(Balancer.RequestStreamStarted.class)).isEqualTo(new Balancer.RequestStreamStarted("r1", 0));
-            assertThat(proxy.nextEvent(Balancer.RequestStreamEnded.class).leftUs()).isBetween(1_000_000L, 1_900_000L);
+            assertThat(proxy.nextEvent(RequestStreamStarted.class)).isEqualTo(new RequestStreamStarted("r1", 0));
+            assertThat(proxy.nextEvent(RequestStreamEnded.class).leftUs()).isBetween(1_000_000L, 1_900_000L);
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
             // The connections stay usable.
             assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("made");
@@ -85,7 +84,7 @@
             RawConnection attempt = server.accept();
             attempt.read();
             attempt.send("HTTP/1.1 200 OK\r\nContent-Length: " + LONG.length() + "\r\n\r\n" + LONG.charAt(0));
-            assertThat(proxy.nextEvent(Balancer.ResponseStreamStarted.class)).isEqualTo(new Balancer.ResponseStreamStarted("r1", 0));
+            assertThat(proxy.nextEvent(ResponseStreamStarted.class)).isEqualTo(new ResponseStreamStarted("r1", 0));
             sendInBackground(attempt, LONG.substring(1));
             assertThat(client.read().body()).isEqualTo(LONG);
             AttemptEnded ended = proxy.nextEvent(AttemptEnded.class);
@@ -140,7 +139,7 @@
             try (RawConnection attempt = server.accept()) {
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\n" + framing + HALF);
-                proxy.nextEvent(Balancer.ResponseStreamStarted.class);
+                proxy.nextEvent(ResponseStreamStarted.class);
             }
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
             if (framing.startsWith("C")) {
@@ -161,7 +160,7 @@
                 attempt = server.accept();
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\nContent-Length: 640000\r\n\r\n" + HALF);
-                proxy.nextEvent(Balancer.ResponseStreamStarted.class);
+                proxy.nextEvent(ResponseStreamStarted.class);
             }
             assertThat(attempt.awaitClose()).isTrue();
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.CANCELLED);
