--- a/proxy/src/main/java/walkpost/proxy/DrainingServerSocketChannel.java
+++ b/proxy/src/main/java/walkpost/proxy/DrainingServerSocketChannel.java
@@ -8,9 +8,9 @@
  * socket that is closed. Used on its event loop only.
  */
 class DrainingServerSocketChannel extends RetryingServerSocketChannel {
-    /** Connections accepted beyond the counted limit of descriptors; this leaves some of the spare descriptors unused. */
+    /** The limit of connections accepted during the close. They may exceed the descriptor limit, and 48 leaves some spare descriptors. */
     private static final int MAX_QUEUED_CONNECTIONS = 48;
-    /** A failed accept is retried at once during the close, because the socket cannot be asked again later. */
+    /** The limit of failed accepts during the close. They are retried at once, because the socket cannot be asked again later. */
     private static final int MAX_ACCEPT_FAILURES = 16;
 
     DrainingServerSocketChannel(SystemCallFailureCounter failures) {
--- a/proxy/src/main/java/walkpost/proxy/InheritedListener.java
+++ b/proxy/src/main/java/walkpost/proxy/InheritedListener.java
@@ -13,7 +13,8 @@
 /**
  * Accepts connections from an inherited listening socket that other processes hold as well. Whether that socket blocks is a property that
  * all of these processes share, so it is left unchanged, and a thread of its own waits in {@code accept}: on the event loop, a connection
- * that another process accepts first would block everything else. Accepted connections are handed to the event loop.
+ * that another process accepts first would block everything else. Accepted connections are handed to the event loop;
+ * {@link #setAccepting} and {@link #close} may be called on any thread.
  */
 final class InheritedListener implements ClientListener {
     /** Delay before the next accept after one has failed, for instance for lack of descriptors. */
--- a/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
+++ b/proxy/src/test/java/walkpost/proxy/OperatorEndpointTest.java
@@ -137,7 +137,7 @@
         }
     }
 
-    /** As for a draining server: requests that were sent may finish, those not yet sent are stopped, and the balancer can send no new ones. */
+    /** As for a draining server: requests already sent may finish, unsent ones are stopped, and the balancer can send no new ones. */
     @Test
     void noNewRequestIsSentToAnExcludedServer() throws Exception {
         try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> {
