--- a/proxy/src/main/java/walkpost/proxy/Headers.java
+++ b/proxy/src/main/java/walkpost/proxy/Headers.java
@@ -35,7 +35,7 @@
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
     private static final int MAX_READ_BYTES = 16 * 1024;
     /** Chunks are as large as a read, so that bodies are relayed in the pieces in which they are read. */
-    static final HttpDecoderConfig DECODING = new HttpDecoderConfig().setMaxChunkSize(MAX_READ_BYTES);
+    static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig().setMaxChunkSize(MAX_READ_BYTES);
 
     private Headers() { }
 
@@ -48,11 +48,11 @@
      * Appends the next bytes of a body to those collected so far, and returns the buffer that holds both. The bytes are copied, because a
      * retained slice would keep the whole buffer of its read in memory.
      */
-    static ByteBuf appendBody(ByteBuf body, ByteBuf next, ByteBufAllocator allocator, BufferBudget buffers) {
+    static ByteBuf appendBody(ByteBuf body, ByteBuf next, ByteBufAllocator allocator, BufferBudget bufferBudget) {
         if (!next.isReadable()) {
             return body;
         }
-        buffers.reserve(next.readableBytes());
+        bufferBudget.reserve(next.readableBytes());
         ByteBuf target = body == Unpooled.EMPTY_BUFFER ? allocator.buffer(next.readableBytes()) : body;
         return target.writeBytes(next, next.readerIndex(), next.readableBytes());
     }
--- a/proxy/src/main/java/walkpost/proxy/InheritedListener.java
+++ b/proxy/src/main/java/walkpost/proxy/InheritedListener.java
@@ -13,7 +13,8 @@
 /**
  * Accepts connections from an inherited listening socket that other processes hold as well. Whether that socket blocks is a property that
  * all of these processes share, so it is left unchanged, and a thread of its own waits in {@code accept}: on the event loop, a connection
- * that another process accepts first would block everything else. Accepted connections are handed to the event loop.
+ * that another process accepts first would block everything else. Accepted connections are handed to the event loop;
+ * {@link #setAccepting} and {@link #close} may be called on any thread.
  */
 final class InheritedListener implements ClientListener {
     /** Delay before the next accept after one has failed, for instance for lack of descriptors. */
@@ -22,7 +23,7 @@
      * The limit of connections that are accepted and not yet handled by the event loop. With 1, a busy loop would take one client a turn
      * while the accept queue fills with clients that have given up; a large number would escape the count of open descriptors.
      */
-    static final int AHEAD = 16;
+    static final int MAX_PENDING_HANDOVERS = 16;
 
     private final ServerSocketChannel socket;
     private final EventLoop loop;
@@ -30,7 +31,7 @@
     private final EventLog log = new EventLog("listener");
     private final Consumer<SocketChannel> onAccepted;
     private final Runnable onClosed;
-    private final Semaphore handOverPermits = new Semaphore(AHEAD);
+    private final Semaphore handOverPermits = new Semaphore(MAX_PENDING_HANDOVERS);
     /** Guarded by this object's monitor. */
     private boolean accepting = true;
 
--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -37,7 +37,7 @@
 final class OperatorEndpoint {
     /** When more callers than this are connected, the one connected longest is closed: it is most likely one that sends nothing. */
     static final int MAX_CALLERS = 16;
-    /** The longest call, with an id of {@link ExclusionStore#LONGEST_ID}. */
+    /** The longest call, with an id of {@link ExclusionStore#MAX_ID_BYTES}. */
     private static final int MAX_LINE_BYTES = 200;
     /** The longest call with, in addition, the ids of two orders of {@link ProxyFleetMember#LONGEST_ORDER} each. */
     private static final int MAX_FLEET_LINE_BYTES = 340;
@@ -114,18 +114,18 @@
                 new Call("orders", MAX_LINE_BYTES, words -> fleet().describeOrders()),
                 new Call("facts TOPIC", MAX_LINE_BYTES, words -> fleet().describeEntries(words[1])),
                 new Call("held ID ORDER", MAX_FLEET_LINE_BYTES, words -> fleet().describeOrderCoverage(words[1], words[2])),
-                new Call("exclude ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, true)),
-                new Call("include ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> order(words, false)));
+                new Call("exclude ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> issueOrder(words, true)),
+                new Call("include ID fleet ORDER [REPLACES]", MAX_FLEET_LINE_BYTES, words -> issueOrder(words, false)));
     }
 
-    private CompletionStage<String> order(String[] words, boolean excluded) throws InvalidCallException {
-        return fleet().issueOrder(words[1], excluded, words[3], words.length > 4 ? words[4] : null);
+    private CompletionStage<String> issueOrder(String[] words, boolean exclude) throws InvalidCallException {
+        return fleet().issueOrder(words[1], exclude, words[3], words.length > 4 ? words[4] : null);
     }
 
     private FleetAccess fleet() throws InvalidCallException {
         if (fleet == null) {
             throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + ProcessEnvironment.FLEET
-                    + " is not set");
+                    + " must name the fleet's file");
         }
         return fleet;
     }
--- a/proxy/src/test/java/walkpost/proxy/FrontendTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FrontendTest.java
@@ -20,10 +20,10 @@
     @Test
     void forwardsRequestAndResponseUnchanged() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.response("200 OK", "an\r\n\r\nswer", "Content-Type: a/b",
-                    "Connection: X-Hop", "X-Hop: 1"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.response("200 OK", "an\r\n\r\nswer",
+                    "Content-Type: a/b", "Connection: X-Hop", "X-Hop: 1"));
             RawConnection.Message response = client.send(ProxyFixture.post("r1", "bo\r\n\0dy")).read();
-            RawConnection.Message request = FakeServer.takeNext(seen);
+            RawConnection.Message request = FakeServer.takeNext(received);
             assertThat(request.first()).isEqualTo("POST /api?k=u%201&x HTTP/1.1");
             assertThat(request.body()).isEqualTo("bo\r\n\0dy");
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
@@ -46,14 +46,14 @@
     /** The cost estimate is optional, so a malformed one counts as absent and does not reject the request. */
     @ParameterizedTest
     @CsvSource({"X-Cost: 18500,18500", "X-Cost: -3,0", "X-Cost: much,0", "X-Cost: 99999999999,0", "X-Other: 1,0"})
-    void passesTheCostEstimateToTheModule(String header, long costUs) throws Exception {
+    void passesTheCostEstimateToTheBalancer(String header, long costUs) throws Exception {
         try (var proxy = new ProxyFixture(INACTIVE); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1").replace("X-Tenant-Id", header + "\r\nX-Tenant-Id"));
             assertThat(proxy.nextEvent(Arrival.class).costUs()).isEqualTo(costUs);
         }
     }
 
-    /** An invalid request reaches neither a server nor the module. */
+    /** An invalid request reaches neither a server nor the balancer. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "X-Priority-Class: read|X-Priority-Class: write|400",
@@ -103,9 +103,9 @@
     void forwardsTheLongestBodiesThatAreCollected() throws Exception {
         String body = "0123456789abcdef".repeat(4_096);
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse(body));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse(body));
             assertThat(client.send(ProxyFixture.post("r1", body)).read().body()).isEqualTo(body);
-            assertThat(FakeServer.takeNext(seen).body()).isEqualTo(body);
+            assertThat(FakeServer.takeNext(received).body()).isEqualTo(body);
         }
     }
 
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void notifiesTheModuleThatAClientHasGone() throws Exception {
+    void notifiesTheBalancerThatAClientHasGone() throws Exception {
         try (var proxy = new ProxyFixture(INACTIVE)) {
             try (var client = proxy.client()) {
                 client.send(ProxyFixture.get("r1"));
@@ -201,7 +201,7 @@
         }
     }
 
-    /** Each pipelined request gets one response, in order; a second decision of the module about a request is ignored. */
+    /** Each pipelined request gets one response, in order; a second decision of the balancer about a request is ignored. */
     @Test
     void answersInOrderAndOnce() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {
--- a/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
+++ b/proxy/src/test/java/walkpost/proxy/StreamedBodyTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Fail;
@@ -38,10 +37,10 @@
     }
 
     /** Sends from another thread, because back-pressure may block the sender. */
-    private static void sendInBackground(RawConnection wire, String text) {
+    private static void sendInBackground(RawConnection connection, String text) {
         CompletableFuture.runAsync(() -> {
             try {
-                wire.send(text);
+                connection.send(text);
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -51,14 +50,14 @@
     @Test
     void relaysALongRequestAndStartsItsDeadlineAtItsEnd() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             sendInBackground(client, ProxyFixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
-            RawConnection.Message request = FakeServer.takeNext(seen);
+            RawConnection.Message request = FakeServer.takeNext(received);
             assertThat(request.body()).isEqualTo(LONG);
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
-            assertThat(proxy.nextEvent(Balancer.RequestStreamStarted.class)).isEqualTo(new Balancer.RequestStreamStarted("r1", 0));
-            assertThat(proxy.nextEvent(Balancer.RequestStreamEnded.class).leftUs()).isBetween(1_000_000L, 1_900_000L);
+            assertThat(proxy.nextEvent(RequestStreamStarted.class)).isEqualTo(new RequestStreamStarted("r1", 0));
+            assertThat(proxy.nextEvent(RequestStreamEnded.class).leftUs()).isBetween(1_000_000L, 1_900_000L);
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
             // The connections stay usable.
             assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("made");
@@ -85,7 +84,7 @@
             RawConnection attempt = server.accept();
             attempt.read();
             attempt.send("HTTP/1.1 200 OK\r\nContent-Length: " + LONG.length() + "\r\n\r\n" + LONG.charAt(0));
-            assertThat(proxy.nextEvent(Balancer.ResponseStreamStarted.class)).isEqualTo(new Balancer.ResponseStreamStarted("r1", 0));
+            assertThat(proxy.nextEvent(ResponseStreamStarted.class)).isEqualTo(new ResponseStreamStarted("r1", 0));
             sendInBackground(attempt, LONG.substring(1));
             assertThat(client.read().body()).isEqualTo(LONG);
             AttemptEnded ended = proxy.nextEvent(AttemptEnded.class);
@@ -140,7 +139,7 @@
             try (RawConnection attempt = server.accept()) {
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\n" + framing + HALF);
-                proxy.nextEvent(Balancer.ResponseStreamStarted.class);
+                proxy.nextEvent(ResponseStreamStarted.class);
             }
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
             if (framing.startsWith("C")) {
@@ -161,7 +160,7 @@
                 attempt = server.accept();
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\nContent-Length: 640000\r\n\r\n" + HALF);
-                proxy.nextEvent(Balancer.ResponseStreamStarted.class);
+                proxy.nextEvent(ResponseStreamStarted.class);
             }
             assertThat(attempt.awaitClose()).isTrue();
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.CANCELLED);
@@ -180,10 +179,10 @@
                 actions.accept(new Send(e.id(), "s1", 0));
             }
         }, unreachable, server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             sendInBackground(client, ProxyFixture.post("r1", LONG));
             assertThat(client.read().body()).isEqualTo("made");
-            assertThat(FakeServer.takeNext(seen).body()).isEqualTo(LONG);
+            assertThat(FakeServer.takeNext(received).body()).isEqualTo(LONG);
         }
     }
 
@@ -241,20 +240,20 @@
     @Test
     void sendsContinueToAClientThatExpectsIt() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             String request = ProxyFixture.post("r1", "body").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
             assertThat(client.send(request).readHead().status()).isEqualTo(100);
             assertThat(client.send("body").read().body()).isEqualTo("made");
-            assertThat(FakeServer.takeNext(seen).header("Expect")).isNull();
+            assertThat(FakeServer.takeNext(received).header("Expect")).isNull();
         }
     }
 
     @Test
     void forwardsATargetWithoutSchemeAndHost() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("made"));
+            BlockingQueue<RawConnection.Message> received = server.answerAll(FakeServer.okResponse("made"));
             client.send(ProxyFixture.get("r1").replace("GET /api", "GET http://service.internal/api")).read();
-            assertThat(FakeServer.takeNext(seen).first()).isEqualTo("GET /api?k=u1 HTTP/1.1");
+            assertThat(FakeServer.takeNext(received).first()).isEqualTo("GET /api?k=u1 HTTP/1.1");
         }
     }
 
