--- a/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
@@ -103,7 +103,7 @@
         }
         if (!valid) {
             done = true;
-        } else if (HttpUtil.getContentLength(response, 0L) > ServerConnections.MAX_BODY) {
+        } else if (HttpUtil.getContentLength(response, 0L) > ServerConnections.MAX_BUFFERED_BODY_BYTES) {
             startRelay();
         }
     }
@@ -130,7 +130,7 @@
         }
         valid = content.decoderResult().isSuccess();
         int bytes = content.content().readableBytes();
-        if (valid && relay == null && bytes > 0 && (bufferedBody.readableBytes() + bytes > ServerConnections.MAX_BODY || buffers.isExhausted())) {
+        if (valid && relay == null && bytes > 0 && (bufferedBody.readableBytes() + bytes > ServerConnections.MAX_BUFFERED_BODY_BYTES || buffers.isExhausted())) {
             startRelay();
         }
         if (valid && relay != null) {
--- a/proxy/src/main/java/walkpost/proxy/ServerConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnections.java
@@ -41,7 +41,7 @@
  */
 final class ServerConnections {
     /** A body up to this size is buffered whole; a longer one is relayed. */
-    static final int MAX_BODY = 64 * 1024;
+    static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
 
     /**
      * A request as it is sent to a server, the same for each attempt except for the time left. The body is either complete in
--- a/proxy/src/main/java/walkpost/proxy/Warmup.java
+++ b/proxy/src/main/java/walkpost/proxy/Warmup.java
@@ -156,7 +156,7 @@
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(new HttpServerCodec(),
-                                    new HttpObjectAggregator(ServerConnections.MAX_BODY), new SyntheticServer());
+                                    new HttpObjectAggregator(ServerConnections.MAX_BUFFERED_BODY_BYTES), new SyntheticServer());
                         }
                     }).bind(address).syncUninterruptibly();
             listed.add(new ServerConnections.ListedServer(new Balancer.Backend("warmup" + i, BackendState.READY, "warmup",
@@ -189,7 +189,7 @@
         new Bootstrap().group(loop).channel(NioDomainSocketChannel.class).handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(ServerConnections.MAX_BODY),
+                channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(ServerConnections.MAX_BUFFERED_BODY_BYTES),
                         new SyntheticClient());
             }
         }).connect(proxyAddress);
