--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -39,7 +39,7 @@
     static final int MAX_CALLERS = 16;
     /** The longest call, with an id of {@link ExclusionStore#LONGEST_ID}. */
     private static final int MAX_LINE_BYTES = 200;
-    /** The longest call with, in addition, the ids of two orders of {@link ProxyFleetMember#LONGEST_ORDER} each. */
+    /** The longest call with, in addition, the ids of two orders of {@link ProxyFleetMember#MAX_ORDER_ID_BYTES} each. */
     private static final int MAX_FLEET_LINE_BYTES = 340;
     /** A caller must send its line within this time; the platform demands an answer or a close within 3 s of connecting. */
     private static final long LINE_TIMEOUT_MS = 2_000;
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -42,7 +42,7 @@
     /** The number of descriptors that a membership may use. */
     static final int MOST_DESCRIPTORS = Fleet.MOST_DESCRIPTORS;
     /** The maximum length of an order's id, in bytes. */
-    static final int LONGEST_ORDER = 64;
+    static final int MAX_ORDER_ID_BYTES = 64;
     private static final String EXCLUDED_PAYLOAD = "{\"out\":true}";
     /** The fleet answers an order within 2 s (docs/fleet.md); a caller whose order is still unanswered after this time gets a failure. */
     private static final long ORDER_TIMEOUT_MS = 2_800;
@@ -303,8 +303,8 @@
         if (lengthInBytes(server) > ExclusionStore.LONGEST_ID) {
             return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + ExclusionStore.LONGEST_ID + " are allowed";
         }
-        return orderId.equals("-") || lengthInBytes(orderId) > LONGEST_ORDER
-                ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + LONGEST_ORDER + " bytes" : null;
+        return orderId.equals("-") || lengthInBytes(orderId) > MAX_ORDER_ID_BYTES
+                ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + MAX_ORDER_ID_BYTES + " bytes" : null;
     }
 
     private static int lengthInBytes(String word) {
