--- a/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
@@ -49,7 +49,8 @@
         connection.bodyBytesReceived(bytes.readableBytes());
         awaitsContinue &= !bytes.isReadable();
         if (startedExchange == null && bytes.isReadable()
-                && (body.readableBytes() + bytes.readableBytes() > ServerConnections.MAX_BUFFERED_BODY_BYTES || frontend.buffers.isExhausted())) {
+                && (body.readableBytes() + bytes.readableBytes() > ServerConnections.MAX_BUFFERED_BODY_BYTES
+                        || frontend.buffers.isExhausted())) {
             var relay = new BodyRelay(body, this, frontend.buffers);
             body = Unpooled.EMPTY_BUFFER;
             startedExchange = new ClientExchange(frontend, connection, head, rulesAtArrival, body, relay);
