--- a/proxy/src/main/java/walkpost/proxy/Config.java
+++ b/proxy/src/main/java/walkpost/proxy/Config.java
@@ -27,16 +27,16 @@
  * @param discovery the address of discovery
  * @param operator the address of the operators' endpoint; null if there is none
  * @param sockets the number of descriptors that the process may use
- * @param memory the memory of the process, in bytes
+ * @param memoryBytes the memory of the process, in bytes
  * @param cores the share of CPU cores that the process has; may be a fraction
- * @param known the list of servers from this proxy's previous run, in discovery's format; null if there is none
+ * @param lastKnownList the list of servers from this proxy's previous run, in discovery's format; null if there is none
  * @param connIdleUs the time after which a server closes an idle connection
  * @param connectTimeoutUs the time-out for connecting to a server
- * @param keys the paths of all JSON fields in the file, except those inside arrays
+ * @param fieldPaths the paths of all JSON fields in the file, except those inside arrays
  */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress operator,
-        int sockets, long memory, double cores, JsonNode known, Balancer.Settings settings, long connIdleUs, long connectTimeoutUs,
-        Set<String> keys) {
+        int sockets, long memoryBytes, double cores, JsonNode lastKnownList, Balancer.Settings settings, long connIdleUs, long connectTimeoutUs,
+        Set<String> fieldPaths) {
 
     static final ObjectMapper JSON = JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
     /** Fields that a configuration may lack although the one before had them. */
@@ -103,9 +103,9 @@
      * @throws Config.InvalidConfigException if it lacks a field that this one has: its file was probably cut short, so the rest cannot be trusted
      */
     Config checkedReplacement(Config replacement) throws Config.InvalidConfigException {
-        for (String key : keys) {
-            if (!replacement.keys.contains(key)) {
-                throw new Config.InvalidConfigException("'" + key + "': missing, but the current configuration has it");
+        for (String fieldPath : fieldPaths) {
+            if (!replacement.fieldPaths.contains(fieldPath)) {
+                throw new Config.InvalidConfigException("'" + fieldPath + "': missing, but the current configuration has it");
             }
         }
         return replacement;
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -40,7 +40,7 @@
     /** The topic of the entries with a proxy's status, whose subject is the proxy that writes them. */
     static final String PROXY = "proxy";
     /** The number of descriptors that a membership may use. */
-    static final int MOST_DESCRIPTORS = Fleet.MOST_DESCRIPTORS;
+    static final int MAX_DESCRIPTORS = Fleet.MOST_DESCRIPTORS;
     /** The maximum length of an order's id, in bytes. */
     static final int MAX_ORDER_ID_BYTES = 64;
     private static final String EXCLUDED_PAYLOAD = "{\"out\":true}";
--- a/proxy/src/main/java/walkpost/proxy/Serve.java
+++ b/proxy/src/main/java/walkpost/proxy/Serve.java
@@ -61,9 +61,9 @@
         loop = newLoop(ioHandlers);
         var settings = config.settings();
         // MOST_DESCRIPTORS is a compile-time constant, so reading it loads no class of the fleet.
-        int descriptors = config.sockets() - (environment.fleet() == null ? 0 : ProxyFleetMember.MOST_DESCRIPTORS);
+        int descriptors = config.sockets() - (environment.fleet() == null ? 0 : ProxyFleetMember.MAX_DESCRIPTORS);
         var connections = sharesListener() ? ConnectionBudget.forSharedLimit(descriptors) : new ConnectionBudget(descriptors);
-        var buffers = new BufferBudget(config.memory() / (sharesListener() ? 2 * BUFFER_MEMORY_DIVISOR : BUFFER_MEMORY_DIVISOR));
+        var buffers = new BufferBudget(config.memoryBytes() / (sharesListener() ? 2 * BUFFER_MEMORY_DIVISOR : BUFFER_MEMORY_DIVISOR));
         backends = new ServerConnections(clock, loop, () -> new RetryingSocketChannel(failures), connections, buffers, config.connIdleUs(),
                 config.connectTimeoutUs());
         proxy = new BalancerDriver(clock, loop, balancer, backends);
@@ -155,7 +155,7 @@
      * @return the address of the operator endpoint, or null if there is none
      */
     InetSocketAddress start() throws Config.InvalidConfigException {
-        loop.execute(() -> discovery.start(config.known()));
+        loop.execute(() -> discovery.start(config.lastKnownList()));
         if (environment.fleet() != null) {
             var fleetExclusions = new ExclusionStore(loop, takenOut, environment.tempDir().resolve(EXCLUDED_BY_FLEET), "fleet");
             fleet = ProxyFleetMember.join(environment.fleet(), sharesListener(), loop, clock, fleetExclusions, this::condition);
--- a/proxy/src/test/java/walkpost/proxy/ConfigTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ConfigTest.java
@@ -23,7 +23,7 @@
                 .containsExactly(Balancer.Effect.SAFE, Balancer.Effect.KEYED, Balancer.Effect.UNSAFE);
         assertThat(config.settings().tenants()).containsExactly(new Balancer.Tenant("acme", 100));
         assertThat(config.connIdleUs()).isEqualTo(15_000_000);
-        assertThat(config.known().path("version").asLong()).isEqualTo(41);
+        assertThat(config.lastKnownList().path("version").asLong()).isEqualTo(41);
     }
 
     @ParameterizedTest
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
@@ -49,7 +49,7 @@
         var backends = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256), new BufferBudget(Long.MAX_VALUE), 1, 1);
         var proxy = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> { }, backends);
         var discovery = new DiscoveryClient(channel.eventLoop(), NioSocketChannel::new, proxy, config.discovery(), config.settings());
-        discovery.start(config.known());
+        discovery.start(config.lastKnownList());
         channel.advanceTimeBy(DiscoveryClient.INITIAL_WAIT_MS - 1, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
         assertThat(discovery.isInitialWaitOver()).isFalse();
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
@@ -89,7 +89,7 @@
                     }
                 }, backends);
                 discovery = new DiscoveryClient(channel.eventLoop(), proxy, config.discovery(), config.settings(), this::send);
-                discovery.start(config.known());
+                discovery.start(config.lastKnownList());
             } catch (IOException | Config.InvalidConfigException e) {
                 throw new AssertionError(e);
             }
