--- a/proxy/src/main/java/walkpost/proxy/Config.java
+++ b/proxy/src/main/java/walkpost/proxy/Config.java
@@ -30,17 +30,18 @@
  * @param memoryBytes the memory of the process, in bytes
  * @param cores the share of CPU cores that the process has; may be a fraction
  * @param lastKnownList the list of servers from this proxy's previous run, in discovery's format; null if there is none
+ * @param settings the settings of the balancer
  * @param connIdleUs the time after which a server closes an idle connection
  * @param connectTimeoutUs the time-out for connecting to a server
- * @param fieldPaths the paths of all JSON fields in the file, except those inside arrays
+ * @param fieldPaths the paths of all JSON fields in the file, except optional ones and those inside arrays
  */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress operator,
-        int sockets, long memoryBytes, double cores, JsonNode lastKnownList, Balancer.Settings settings, long connIdleUs, long connectTimeoutUs,
-        Set<String> fieldPaths) {
+        int sockets, long memoryBytes, double cores, JsonNode lastKnownList, Balancer.Settings settings,
+        long connIdleUs, long connectTimeoutUs, Set<String> fieldPaths) {
 
     static final ObjectMapper JSON = JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
-    /** Fields that a configuration may lack although the one before had them. */
-    private static final Set<String> OPTIONAL = Set.of("known", "operator", "extra");
+    /** Fields that a new configuration may lack although the current one has them. */
+    private static final Set<String> OPTIONAL_FIELDS = Set.of("known", "operator", "extra");
 
     /** Thrown if a proxy cannot run with a configuration; the message is for the operators and names the field. */
     static final class InvalidConfigException extends Exception {
@@ -51,25 +52,25 @@
         }
     }
 
-    static Config read(Path file) throws Config.InvalidConfigException {
+    static Config read(Path file) throws InvalidConfigException {
         try {
             return parse(JSON.readTree(new StartupRetry().callWithRetry("configuration", () -> Files.readAllBytes(file))));
         } catch (JsonProcessingException e) {
-            throw new Config.InvalidConfigException("the configuration file is not valid JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigException("the configuration file is not valid JSON: " + e.getOriginalMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new Config.InvalidConfigException("the thread was interrupted while it read the configuration file");
-        } catch (Config.InvalidConfigException e) {
+            throw new InvalidConfigException("the thread was interrupted while it read the configuration file");
+        } catch (InvalidConfigException e) {
             throw e;
         } catch (Exception e) {
-            throw new Config.InvalidConfigException("the configuration file cannot be read: " + e);
+            throw new InvalidConfigException("the configuration file cannot be read: " + e);
         }
     }
 
-    static Config parse(JsonNode json) throws Config.InvalidConfigException {
+    static Config parse(JsonNode json) throws InvalidConfigException {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
-            throw new Config.InvalidConfigException("'settings': missing or not a JSON object");
+            throw new InvalidConfigException("'settings': missing or not a JSON object");
         }
         var values = new HashMap<String, String>();
         flatten("", settings, values);
@@ -80,16 +81,17 @@
                     json.path("known").isObject() ? json.path("known") : null,
                     SettingsReader.read(values, parseSeed(json)),
                     SettingsReader.wholeNumber(values, "bounds.conn_idle_us"),
-                    SettingsReader.wholeNumber(values, "bounds.connect_timeout_us"), Set.copyOf(collectFieldPaths("", json, new HashSet<>())));
+                    SettingsReader.wholeNumber(values, "bounds.connect_timeout_us"),
+                    Set.copyOf(collectFieldPaths("", json, new HashSet<>())));
         } catch (IllegalArgumentException e) {
-            throw new Config.InvalidConfigException("'settings': " + e.getMessage());
+            throw new InvalidConfigException("'settings': " + e.getMessage());
         }
     }
 
-    /** Adds the paths of all fields of a JSON object and of the objects in it to a set, except those inside arrays; returns the set. */
+    /** Adds the paths of the fields of a JSON object, and of the objects in it, to a set; skips optional fields and arrays' elements. */
     private static Set<String> collectFieldPaths(String prefix, JsonNode node, Set<String> paths) {
         node.properties().forEach(field -> {
-            if (!OPTIONAL.contains(field.getKey())) {
+            if (!OPTIONAL_FIELDS.contains(field.getKey())) {
                 paths.add(prefix + field.getKey());
                 collectFieldPaths(prefix + field.getKey() + ".", field.getValue(), paths);
             }
@@ -100,12 +102,13 @@
     /**
      * Returns a new configuration unchanged if it may replace this one.
      *
-     * @throws Config.InvalidConfigException if it lacks a field that this one has: its file was probably cut short, so the rest cannot be trusted
+     * @throws InvalidConfigException if it lacks a field that this one has: its file was probably cut short, so the rest
+     *         cannot be trusted
      */
-    Config checkedReplacement(Config replacement) throws Config.InvalidConfigException {
+    Config checkedReplacement(Config replacement) throws InvalidConfigException {
         for (String fieldPath : fieldPaths) {
             if (!replacement.fieldPaths.contains(fieldPath)) {
-                throw new Config.InvalidConfigException("'" + fieldPath + "': missing, but the current configuration has it");
+                throw new InvalidConfigException("'" + fieldPath + "': missing, but the current configuration has it");
             }
         }
         return replacement;
@@ -126,52 +129,53 @@
         }
     }
 
-    private static String requiredText(JsonNode json, String field) throws Config.InvalidConfigException {
+    private static String requiredText(JsonNode json, String field) throws InvalidConfigException {
         String text = json.path(field).asText("");
         if (text.isEmpty()) {
-            throw new Config.InvalidConfigException("'" + field + "': missing");
+            throw new InvalidConfigException("'" + field + "': missing");
         }
         return text;
     }
 
-    private static InetSocketAddress requiredAddress(JsonNode json, String field) throws Config.InvalidConfigException {
+    private static InetSocketAddress requiredAddress(JsonNode json, String field) throws InvalidConfigException {
         String text = requiredText(json, field);
         InetSocketAddress address = parseAddress(text);
         if (address == null) {
-            throw new Config.InvalidConfigException("'" + field + "': '" + text + "' is not a numeric IP address and port, such as 127.0.0.1:8080");
+            throw new InvalidConfigException("'" + field + "': '" + text + "' is not a numeric IP address and port,"
+                    + " such as 127.0.0.1:8080");
         }
         return address;
     }
 
-    private static long parseSeed(JsonNode json) throws Config.InvalidConfigException {
+    private static long parseSeed(JsonNode json) throws InvalidConfigException {
         String text = requiredText(json, "seed");
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new Config.InvalidConfigException("'seed': '" + text + "' is not a hexadecimal number of up to 64 bits");
+            throw new InvalidConfigException("'seed': '" + text + "' is not a hexadecimal number of up to 64 bits");
         }
     }
 
-    private static int parseSockets(JsonNode json) throws Config.InvalidConfigException {
+    private static int parseSockets(JsonNode json) throws InvalidConfigException {
         JsonNode limit = json.path("limits").path("sockets");
         if (!limit.canConvertToInt() || limit.asInt() < 128) {
-            throw new Config.InvalidConfigException("'limits.sockets': '" + limit.asText() + "' is not an integer of at least 128");
+            throw new InvalidConfigException("'limits.sockets': '" + limit.asText() + "' is not an integer of at least 128");
         }
         return limit.asInt();
     }
 
-    private static long parseMemoryBytes(JsonNode json) throws Config.InvalidConfigException {
+    private static long parseMemoryBytes(JsonNode json) throws InvalidConfigException {
         long megabytes = json.path("limits").path("memory_mb").asLong(192);
         if (megabytes < 1) {
-            throw new Config.InvalidConfigException("'limits.memory_mb': " + megabytes + " is not at least 1");
+            throw new InvalidConfigException("'limits.memory_mb': " + megabytes + " is not at least 1");
         }
         return megabytes * 1024 * 1024;
     }
 
-    private static double parseCores(JsonNode json) throws Config.InvalidConfigException {
+    private static double parseCores(JsonNode json) throws InvalidConfigException {
         double cores = json.path("limits").path("cores").asDouble(1);
         if (!(cores > 0)) {
-            throw new Config.InvalidConfigException("'limits.cores': " + cores + " is not above 0");
+            throw new InvalidConfigException("'limits.cores': " + cores + " is not above 0");
         }
         return cores;
     }
--- a/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
@@ -39,7 +39,7 @@
 
     private final EventLoop loop;
     private final EventLog log = new EventLog("discovery");
-    private final BalancerDriver proxy;
+    private final BalancerDriver balancerDriver;
     private final ListRequest.Factory requestFactory;
     /** Whether an agent on this machine pushes lists; if not, they are requested from a service that all proxies share. */
     private boolean pushed;
@@ -55,15 +55,17 @@
     private final DiscoveryRetryPolicy retryPolicy = new DiscoveryRetryPolicy();
     private final ServerStartTimes startTimes = new ServerStartTimes();
 
-    DiscoveryClient(EventLoop loop, ChannelFactory<Channel> transport, BalancerDriver proxy, InetSocketAddress address, Balancer.Settings settings) {
-        this(loop, proxy, address, settings,
+    DiscoveryClient(EventLoop loop, ChannelFactory<Channel> transport, BalancerDriver balancerDriver, InetSocketAddress address,
+            Balancer.Settings settings) {
+        this(loop, balancerDriver, address, settings,
                 (server, uri, connectTimeoutMs, callback) ->
                         new ListRequest(loop, transport, server, uri, connectTimeoutMs, callback)::end);
     }
 
-    DiscoveryClient(EventLoop loop, BalancerDriver proxy, InetSocketAddress address, Balancer.Settings settings, ListRequest.Factory requestFactory) {
+    DiscoveryClient(EventLoop loop, BalancerDriver balancerDriver, InetSocketAddress address, Balancer.Settings settings,
+            ListRequest.Factory requestFactory) {
         this.loop = loop;
-        this.proxy = proxy;
+        this.balancerDriver = balancerDriver;
         this.requestFactory = requestFactory;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
@@ -92,12 +94,12 @@
     }
 
     /** Starts with the list of this proxy's previous run, null if there is none; it is the first list that the balancer gets. */
-    void start(JsonNode list) {
-        if (list != null) {
-            version = new ListVersion(version.epoch(), list.path("version").asLong(-1));
+    void start(JsonNode lastKnownList) {
+        if (lastKnownList != null) {
+            version = new ListVersion(version.epoch(), lastKnownList.path("version").asLong(-1));
         }
         loop.schedule(() -> initialWaitOver = true, INITIAL_WAIT_MS, TimeUnit.MILLISECONDS);
-        proxy.updateServerList(ListKind.CACHED, list == null ? List.of() : validEntries(list));
+        balancerDriver.updateServerList(ListKind.CACHED, lastKnownList == null ? List.of() : validEntries(lastKnownList));
         if (pushed) {
             setWatching(true);
         }
@@ -185,8 +187,8 @@
             loop.schedule(() -> continueWatch(call), NO_CHANGE_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
         if (verdict == Verdict.TAKE || verdict == Verdict.TAKE_ANEW) {
-            startTimes.listApplied(proxy.nowUs());
-            proxy.updateServerList(full ? ListKind.FULL : ListKind.DELTA, entries);
+            startTimes.listApplied(balancerDriver.nowUs());
+            balancerDriver.updateServerList(full ? ListKind.FULL : ListKind.DELTA, entries);
         }
     }
 
@@ -203,14 +205,14 @@
         if (pushed) {
             loop.schedule(() -> setWatching(watchWanted), timing.agentRetryMs(), TimeUnit.MILLISECONDS);
         } else {
-            proxy.updateServerList(ListKind.FAILED, List.of());
+            balancerDriver.updateServerList(ListKind.FAILED, List.of());
         }
     }
 
     /** Returns the valid entries of a list and logs the others. */
     private List<ServerConnections.ListedServer> validEntries(JsonNode list) {
         var listed = new ArrayList<ServerConnections.ListedServer>();
-        long now = proxy.nowUs();
+        long now = balancerDriver.nowUs();
         for (JsonNode entry : list.path("servers")) {
             startTimes.observeStart(entry.path("started_ms").asLong(), now);
         }
--- a/proxy/src/main/java/walkpost/proxy/DiscoveryRetryPolicy.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryRetryPolicy.java
@@ -3,8 +3,8 @@
 import walkpost.DiscoveryBackOff;
 
 /**
- * Decides when to call discovery again after a failed call, ahead of the balancer's back-off ({@link walkpost.DiscoveryBackOff}). Not thread-safe,
- * without I/O; times are in milliseconds.
+ * Decides when to call discovery again after a failed call, ahead of the balancer's back-off ({@link walkpost.DiscoveryBackOff}). Not
+ * thread-safe, without I/O; times are in milliseconds.
  *
  * <p>A response that was written to this proxy counts as published, and a drain in it must be obeyed 300 ms later. So a call whose response
  * may have been lost is repeated soon, once, and twice more if the repeated call could not connect or its response broke off too. All
--- a/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
+++ b/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
@@ -16,8 +16,8 @@
  *
  * <p>After a call that was refused, failed or timed out, a change counts as published 6 s after discovery had it and was reachable.
  * Discovery may become reachable right after the last failing step began, so each row of this table, in seconds, must sum up to at
- * most 6 s if the list is requested from a service. The back-off is the balancer's ({@link walkpost.DiscoveryBackOff}), at most 2.4 s; a response
- * takes 1.5 s if a hundred proxies call at once:
+ * most 6 s if the list is requested from a service. The back-off is the balancer's ({@link walkpost.DiscoveryBackOff}), at most 2.4 s;
+ * a response takes 1.5 s if a hundred proxies call at once:
  * <pre>
  * last step before discovery became reachable       until it ends   back-off   next call     response   sum
  * refused, 503, or broken off at once                         0.0        2.4           -          1.5   3.9
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -59,16 +59,16 @@
     private final EventLoop loop;
     private final ProxyClock clock;
     private final ExclusionStore exclusions;
-    private final Supplier<FleetAccess.ProxyStatus> status;
+    private final Supplier<ProxyStatus> status;
     /** Why this proxy is not a member; used only while there is no handle. */
     private volatile String notMemberReason = "this proxy has not joined the fleet yet";
     private volatile FleetHandle handle;
     private Future<?> statusTimer;
     private boolean closed;
-    private FleetAccess.ProxyStatus publishedStatus;
+    private ProxyStatus publishedStatus;
     private long publishedAtUs;
 
-    private ProxyFleetMember(EventLoop loop, ProxyClock clock, ExclusionStore exclusions, Supplier<FleetAccess.ProxyStatus> status) {
+    private ProxyFleetMember(EventLoop loop, ProxyClock clock, ExclusionStore exclusions, Supplier<ProxyStatus> status) {
         this.loop = loop;
         this.clock = clock;
         this.exclusions = exclusions;
@@ -88,7 +88,7 @@
      * @throws Config.InvalidConfigException with the fleet's message, if its file is invalid or its address is in use by something else
      */
     static FleetAccess join(Opener opener, boolean shared, EventLoop loop, ProxyClock clock, ExclusionStore exclusions,
-            Supplier<FleetAccess.ProxyStatus> status) throws Config.InvalidConfigException {
+            Supplier<ProxyStatus> status) throws Config.InvalidConfigException {
         var member = new ProxyFleetMember(loop, clock, exclusions, status);
         loop.execute(exclusions::start);
         try {
@@ -152,13 +152,13 @@
     // Notifications of the fleet, on the event loop
 
     @Override
-    public void effectiveOrderChanged(Order.Key key, EffectiveOrder acting) {
+    public void effectiveOrderChanged(Order.Key key, EffectiveOrder effectiveOrder) {
         if (!key.topic().equals(EXCLUSION)) {
             return;
         }
-        Boolean excluded = isExcluded(acting);
+        Boolean excluded = isExcluded(effectiveOrder);
         if (excluded == null) {
-            log.warn("order_not_understood", "server", key.subject(), "payload", acting.payload());
+            log.warn("order_not_understood", "server", key.subject(), "payload", effectiveOrder.payload());
         } else if (excluded != exclusions.excludedIds().contains(key.subject())) {
             exclusions.apply(key.subject(), excluded);
         }
@@ -166,13 +166,13 @@
 
     /** Once this member has caught up, includes each server that it had excluded and that no order in force excludes any more. */
     @Override
-    public void caughtUpChanged(boolean level) {
+    public void caughtUpChanged(boolean caughtUp) {
         FleetHandle fleet = handle;
-        if (level && fleet != null) {
+        if (caughtUp && fleet != null) {
             Map<Order.Key, EffectiveOrder> orders = fleet.orders();
             exclusions.excludedIds().stream().filter(id -> {
-                EffectiveOrder acting = orders.get(new Order.Key(EXCLUSION, id));
-                return acting == null || Boolean.FALSE.equals(isExcluded(acting));
+                EffectiveOrder effectiveOrder = orders.get(new Order.Key(EXCLUSION, id));
+                return effectiveOrder == null || Boolean.FALSE.equals(isExcluded(effectiveOrder));
             }).forEach(id -> exclusions.apply(id, false));
         }
     }
@@ -181,17 +181,17 @@
     public void member(Member member) { }
 
     @Override
-    public void entryReceived(Entry fact) { }
+    public void entryReceived(Entry entry) { }
 
     @Override
     public void stale(Entry.Key key) { }
 
     /** Returns whether the order in force excludes its server; null if its payload is unknown to this version of the program. */
-    private static Boolean isExcluded(EffectiveOrder acting) {
-        if (acting.payload() == null) {
+    private static Boolean isExcluded(EffectiveOrder effectiveOrder) {
+        if (effectiveOrder.payload() == null) {
             return false;
         }
-        JsonNode out = parsePayload(acting.payload()).path("out");
+        JsonNode out = parsePayload(effectiveOrder.payload()).path("out");
         return out.isBoolean() ? out.booleanValue() : null;
     }
 
@@ -200,7 +200,7 @@
     /** Publishes the proxy's status if it has changed, or if the published one has reached half of the topic's maximum age. */
     private void publishStatus() {
         FleetHandle fleet = handle;
-        FleetAccess.ProxyStatus currentStatus = status.get();
+        ProxyStatus currentStatus = status.get();
         if (fleet != null && (!currentStatus.equals(publishedStatus) || clock.nowUs() - publishedAtUs >= fleet.boundUs(PROXY) / 2)) {
             publishedStatus = currentStatus;
             publishedAtUs = clock.nowUs();
@@ -235,13 +235,13 @@
         return answerFromReplica(fleet -> {
             ObjectNode json = Config.JSON.createObjectNode().put("level", fleet.isCaughtUp());
             ArrayNode orders = json.putArray("orders");
-            fleet.orders().forEach((key, acting) -> {
-                Order chosen = acting.chosen();
+            fleet.orders().forEach((key, effectiveOrder) -> {
+                Order chosen = effectiveOrder.chosen();
                 ObjectNode order = orders.addObject().put("topic", key.topic()).put("subject", key.subject());
-                order.set("payload", parsePayload(acting.payload()));
+                order.set("payload", parsePayload(effectiveOrder.payload()));
                 order.put("id", chosen == null ? null : chosen.id()).put("version", chosen == null ? 0 : chosen.version());
                 ArrayNode rivals = order.putArray("rivals");
-                acting.rivals().forEach(rival -> rivals.add(rival.id()));
+                effectiveOrder.rivals().forEach(rival -> rivals.add(rival.id()));
             });
             return json;
         });
@@ -304,7 +304,8 @@
             return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + ExclusionStore.LONGEST_ID + " are allowed";
         }
         return orderId.equals("-") || lengthInBytes(orderId) > MAX_ORDER_ID_BYTES
-                ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + MAX_ORDER_ID_BYTES + " bytes" : null;
+                ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + MAX_ORDER_ID_BYTES + " bytes"
+                : null;
     }
 
     private static int lengthInBytes(String word) {
--- a/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
@@ -24,7 +24,7 @@
  */
 final class ServerConnectionHandler extends SimpleChannelInboundHandler<HttpObject> implements BodyRelay.Source {
     private final ServerConnections.Endpoint endpoint;
-    private final BufferBudget buffers;
+    private final BufferBudget bufferBudget;
     private final ServerResponseDecoder decoder = new ServerResponseDecoder(this::isResponseExpected);
     private Channel channel;
     private ServerConnections.Attempt attempt;
@@ -45,9 +45,9 @@
     private boolean done;
     private boolean failed;
 
-    ServerConnectionHandler(ServerConnections.Endpoint endpoint, BufferBudget buffers) {
+    ServerConnectionHandler(ServerConnections.Endpoint endpoint, BufferBudget bufferBudget) {
         this.endpoint = endpoint;
-        this.buffers = buffers;
+        this.bufferBudget = bufferBudget;
     }
 
     ServerResponseDecoder decoder() {
@@ -115,7 +115,7 @@
             done = true;
             return;
         }
-        relay = new BodyRelay(bufferedBody, this, buffers);
+        relay = new BodyRelay(bufferedBody, this, bufferBudget);
         bufferedBody = Unpooled.EMPTY_BUFFER;
         attempt.beginStreamedResponse(
                 new ServerConnections.StreamedResponse(responseHead.headers(), HttpUtil.getContentLength(responseHead, -1L), relay));
@@ -130,13 +130,14 @@
         }
         valid = content.decoderResult().isSuccess();
         int bytes = content.content().readableBytes();
-        if (valid && relay == null && bytes > 0 && (bufferedBody.readableBytes() + bytes > ServerConnections.MAX_BUFFERED_BODY_BYTES || buffers.isExhausted())) {
+        if (valid && relay == null && bytes > 0
+                && (bufferedBody.readableBytes() + bytes > ServerConnections.MAX_BUFFERED_BODY_BYTES || bufferBudget.isExhausted())) {
             startRelay();
         }
         if (valid && relay != null) {
             relay.add(content.content().retain());
         } else if (valid && !done) {
-            bufferedBody = Headers.appendBody(bufferedBody, content.content(), channel.alloc(), buffers);
+            bufferedBody = Headers.appendBody(bufferedBody, content.content(), channel.alloc(), bufferBudget);
         }
         if (last && valid) {
             trailers = ((LastHttpContent) content).trailingHeaders();
@@ -173,7 +174,7 @@
         } else {
             channel.close();
         }
-        buffers.release(wholeBody.readableBytes());
+        bufferBudget.release(wholeBody.readableBytes());
         if (finishedRelay != null && finalTrailers != null) {
             finishedRelay.complete(finalTrailers);
             finishedAttempt.end(Outcome.OK, null);
@@ -239,7 +240,7 @@
         deliverResponse();
         ServerConnections.Attempt interruptedAttempt = attempt;
         BodyRelay interruptedRelay = relay;
-        buffers.release(bufferedBody.readableBytes());
+        bufferBudget.release(bufferedBody.readableBytes());
         bufferedBody.release();
         reset();
         if (interruptedRelay != null) {
--- a/proxy/src/main/java/walkpost/proxy/ServerConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnections.java
@@ -1,7 +1,8 @@
 package walkpost.proxy;
+
+import walkpost.Balancer;
 import walkpost.Balancer.BackendState;
 import walkpost.Balancer.Outcome;
-import walkpost.Balancer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -70,16 +71,16 @@
         void onBodySent();
 
         /** A response that is too long to be buffered has started. */
-        void onStreamedResponse(ServerConnections.StreamedResponse stream);
+        void onStreamedResponse(StreamedResponse stream);
 
         /** The attempt has ended; called once. {@code response} is null unless the outcome is {@link Outcome#OK} and was not streamed. */
-        void onEnded(Outcome outcome, long latencyUs, ServerConnections.BufferedResponse response);
+        void onEnded(Outcome outcome, long latencyUs, BufferedResponse response);
     }
 
     private final ProxyClock clock;
     private final EventLoop loop;
-    private final ConnectionBudget sockets;
-    private final BufferBudget buffers;
+    private final ConnectionBudget connectionBudget;
+    private final BufferBudget bufferBudget;
     private final Bootstrap bootstrap;
     private long idleUs;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
@@ -87,12 +88,12 @@
     private final Set<String> listedIds = new HashSet<>();
     private final Set<String> excludedIds = new HashSet<>();
 
-    ServerConnections(ProxyClock clock, EventLoop loop, ChannelFactory<? extends Channel> transport, ConnectionBudget sockets, BufferBudget buffers,
-            long connIdleUs, long connectTimeoutUs) {
+    ServerConnections(ProxyClock clock, EventLoop loop, ChannelFactory<? extends Channel> transport, ConnectionBudget connectionBudget,
+            BufferBudget bufferBudget, long connIdleUs, long connectTimeoutUs) {
         this.clock = clock;
         this.loop = loop;
-        this.sockets = sockets;
-        this.buffers = buffers;
+        this.connectionBudget = connectionBudget;
+        this.bufferBudget = bufferBudget;
         this.bootstrap = new Bootstrap().group(loop).channelFactory(transport)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, Headers.readBufferAllocator())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Headers.WATER_MARK);
@@ -122,12 +123,12 @@
      *
      * @return the attempts that the caller must abort: their server accepts nothing new, and none of their bytes has been sent
      */
-    List<Attempt> applyList(Balancer.ListKind kind, List<ServerConnections.ListedServer> listed) {
+    List<Attempt> applyList(Balancer.ListKind kind, List<ListedServer> listed) {
         var unsent = new ArrayList<Attempt>();
         if (kind != Balancer.ListKind.DELTA) {
             listedIds.clear();
         }
-        for (ServerConnections.ListedServer entry : listed) {
+        for (ListedServer entry : listed) {
             if (entry.backend().state() == BackendState.GONE) {
                 listedIds.remove(entry.backend().id());
             } else {
@@ -158,7 +159,7 @@
         return unsent;
     }
 
-    /** Returns whether a server is on the list or is excluded by the operators. */
+    /** Returns whether a server is on the list or is excluded. */
     boolean isKnown(String id) {
         return listedIds.contains(id) || excludedIds.contains(id);
     }
@@ -191,9 +192,9 @@
      * @return null if the server is unknown or accepts no new attempts, if no socket is left, or if the relayed request body can
      *         no longer be sent from its start
      */
-    Attempt newAttempt(String id, ServerConnections.OutgoingRequest outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
+    Attempt newAttempt(String id, OutgoingRequest outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
         Endpoint endpoint = endpoints.get(id);
-        if (endpoint == null || !endpoint.acceptsAttempts() || !endpoint.pool.hasIdle() && !sockets.makeRoomForServerConnection()
+        if (endpoint == null || !endpoint.acceptsAttempts() || !endpoint.pool.hasIdle() && !connectionBudget.makeRoomForServerConnection()
                 || outgoing.relay() != null && !outgoing.relay().isReplayable()) {
             return null;
         }
@@ -213,16 +214,16 @@
             this.id = id;
             this.address = address;
             this.pool = new ConnectionPool(bootstrap.clone().remoteAddress(address), this::setUpConnection,
-                    new IdleConnections(clock::nowUs, sockets), () -> idleUs);
+                    new IdleConnections(clock::nowUs, connectionBudget), () -> idleUs);
         }
 
         private void setUpConnection(Channel channel) {
-            sockets.serverConnectionOpened(channel);
+            connectionBudget.serverConnectionOpened(channel);
             if (channel.config() instanceof DuplexChannelConfig config) {
                 // Only with half-closure can the end of the server's output be told apart from a close by this side.
                 config.setAllowHalfClosure(true);
             }
-            var handler = new ServerConnectionHandler(this, buffers);
+            var handler = new ServerConnectionHandler(this, bufferBudget);
             channel.pipeline().addLast(handler.decoder(), new HttpRequestEncoder(),
                     new IdleStateHandler(0, 0, idleUs, TimeUnit.MICROSECONDS), handler);
         }
@@ -267,7 +268,7 @@
     /** One attempt to have a request served, from acquiring a connection to its outcome. */
     final class Attempt implements BodyRelay.Sink {
         private final Endpoint endpoint;
-        private final ServerConnections.OutgoingRequest outgoing;
+        private final OutgoingRequest outgoing;
         private final long timeoutUs;
         private final long sendByUs;
         private final AttemptListener listener;
@@ -283,7 +284,7 @@
         private ChannelPromise lastWrite;
         private boolean ended;
 
-        private Attempt(Endpoint endpoint, ServerConnections.OutgoingRequest outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
+        private Attempt(Endpoint endpoint, OutgoingRequest outgoing, long timeoutUs, long sendByUs, AttemptListener listener) {
             this.endpoint = endpoint;
             this.outgoing = outgoing;
             this.timeoutUs = timeoutUs;
@@ -423,7 +424,7 @@
         }
 
         /** Reports a response that is relayed: its latency is measured now, and no time-out runs from here on. */
-        void beginStreamedResponse(ServerConnections.StreamedResponse response) {
+        void beginStreamedResponse(StreamedResponse response) {
             timer.cancel(false);
             responseStartedAtUs = clock.nowUs();
             listener.onStreamedResponse(response);
@@ -444,7 +445,7 @@
         }
 
         /** Ends the attempt with the outcome seen on its connection. */
-        void end(Outcome outcome, ServerConnections.BufferedResponse response) {
+        void end(Outcome outcome, BufferedResponse response) {
             if (!ended) {
                 ended = true;
                 report(outcome, response);
@@ -453,7 +454,7 @@
             }
         }
 
-        private void report(Outcome outcome, ServerConnections.BufferedResponse response) {
+        private void report(Outcome outcome, BufferedResponse response) {
             timer.cancel(false);
             endpoint.activeAttempts.remove(this);
             if (relayingBody) {
--- a/proxy/src/main/java/walkpost/proxy/ServerResponseDecoder.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerResponseDecoder.java
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Records that the server has shut down its output. A reset or a close from this side does not raise this event on an active channel. */
+    /** Records that the server has shut down its output; a reset or a close from this side does not raise this event while active. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
         inputShutDown |= event instanceof ChannelInputShutdownEvent && ctx.channel().isActive();
--- a/proxy/src/test/java/walkpost/proxy/AttemptsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/AttemptsTest.java
@@ -30,8 +30,8 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final ProxyClock clock = new ProxyClock();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    private FakeServer peer;
-    private ServerConnections backends;
+    private FakeServer fakeServer;
+    private ServerConnections connections;
 
     /** Records the outcomes. */
     private final class OutcomeRecorder implements ServerConnections.AttemptListener {
@@ -52,25 +52,26 @@
 
     @BeforeEach
     void setUp() throws Exception {
-        peer = new FakeServer();
-        backends = new ServerConnections(clock, loop, NioSocketChannel::new, new ConnectionBudget(1_024), new BufferBudget(1 << 20), 15_000_000,
-                1_000_000);
+        fakeServer = new FakeServer();
+        connections = new ServerConnections(clock, loop, NioSocketChannel::new, new ConnectionBudget(1_024), new BufferBudget(1 << 20),
+                15_000_000, 1_000_000);
         loop.submit(() -> listServer(Balancer.BackendState.READY)).get();
     }
 
     @AfterEach
     void tearDown() throws Exception {
-        loop.submit(() -> backends.closeIdle("s0")).get();
+        loop.submit(() -> connections.closeIdle("s0")).get();
         loop.shutdownGracefully();
-        peer.close();
+        fakeServer.close();
     }
 
     private List<ServerConnections.Attempt> listServer(Balancer.BackendState state) {
-        return backends.applyList(ListKind.FULL, List.of(listedServer("s0", state, peer.port())));
+        return connections.applyList(ListKind.FULL, List.of(listedServer("s0", state, fakeServer.port())));
     }
 
     private static ServerConnections.ListedServer listedServer(String id, Balancer.BackendState state, int port) {
-        return new ServerConnections.ListedServer(new Balancer.Backend(id, state, "m", "a", 1, 7, 1), new InetSocketAddress("127.0.0.1", port));
+        return new ServerConnections.ListedServer(new Balancer.Backend(id, state, "m", "a", 1, 7, 1),
+                new InetSocketAddress("127.0.0.1", port));
     }
 
     private static ServerConnections.OutgoingRequest get(String id) {
@@ -83,7 +84,7 @@
     }
 
     private ServerConnections.Attempt start(String server, String id, long sendByUs) {
-        ServerConnections.Attempt attempt = backends.newAttempt(server, get(id), 5_000_000, sendByUs, new OutcomeRecorder());
+        ServerConnections.Attempt attempt = connections.newAttempt(server, get(id), 5_000_000, sendByUs, new OutcomeRecorder());
         attempt.start();
         return attempt;
     }
@@ -93,7 +94,7 @@
     void sendsNothingAfterItsLatestSendTimeButPoolsTheConnection() throws Exception {
         loop.submit(() -> start("r1", clock.nowUs() - 1)).get();
         assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.NOT_SENT);
-        RawConnection onlyConnection = peer.accept();
+        RawConnection onlyConnection = fakeServer.accept();
         loop.submit(() -> start("r2", clock.nowUs() + 5_000_000)).get();
         assertThat(onlyConnection.read().header("X-Request-ID")).isEqualTo("r2");
         onlyConnection.send(FakeServer.okResponse("x"));
@@ -105,7 +106,8 @@
         var withoutSockets = new ServerConnections(clock, loop, () -> {
             throw new ChannelException("Too many open files");
         }, new ConnectionBudget(1_024), new BufferBudget(1 << 20), 15_000_000, 1_000_000);
-        loop.submit(() -> withoutSockets.applyList(ListKind.FULL, List.of(listedServer("s0", Balancer.BackendState.READY, peer.port())))).get();
+        loop.submit(() -> withoutSockets.applyList(ListKind.FULL,
+                List.of(listedServer("s0", Balancer.BackendState.READY, fakeServer.port())))).get();
         loop.submit(() -> withoutSockets.newAttempt("s0", get("r1"), 5_000_000, Long.MAX_VALUE, new OutcomeRecorder()).start()).get();
         assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.NOT_SENT);
     }
@@ -115,9 +117,9 @@
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8})
     void doesNotReportAWrittenRequestAsUnsent(int depth) throws Exception {
         loop.submit(() -> start("r1", Long.MAX_VALUE)).get();
-        RawConnection wire = peer.accept();
-        wire.read();
-        wire.send(FakeServer.okResponse("x"));
+        RawConnection rawConnection = fakeServer.accept();
+        rawConnection.read();
+        rawConnection.send(FakeServer.okResponse("x"));
         assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.OK);
         var unsent = new ArrayList<ServerConnections.Attempt>();
         loop.submit(() -> nest(depth, () -> {
@@ -125,7 +127,7 @@
             unsent.addAll(listServer(Balancer.BackendState.DRAINING));
             unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
         })).get();
-        RawConnection.Message received = wire.read();
+        RawConnection.Message received = rawConnection.read();
         assertThat(received == null).isEqualTo(!unsent.isEmpty());
     }
 
@@ -139,36 +141,38 @@
             loop.execute(() -> stop(attempt, meanwhile));
         }).get();
         assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.NOT_SENT);
-        assertThat(peer.accept().awaitClose()).isTrue();
+        assertThat(fakeServer.accept().awaitClose()).isTrue();
     }
 
     private void stop(ServerConnections.Attempt attempt, String cause) {
         List<ServerConnections.Attempt> unsent = switch (cause) {
             case "cancelled" -> List.of(attempt);
             case "drained" -> listServer(Balancer.BackendState.DRAINING);
-            case "moved" -> backends.applyList(ListKind.DELTA, List.of(listedServer("s0", Balancer.BackendState.READY, 1)));
-            case "gone" -> backends.applyList(ListKind.FULL, List.of());
-            default -> backends.exclude("s0");
+            case "moved" -> connections.applyList(ListKind.DELTA, List.of(listedServer("s0", Balancer.BackendState.READY, 1)));
+            case "gone" -> connections.applyList(ListKind.FULL, List.of());
+            default -> connections.exclude("s0");
         };
-        backends.include("s0");
+        connections.include("s0");
         unsent.forEach(unsentAttempt -> unsentAttempt.abort(Outcome.NOT_SENT));
     }
 
     @Test
     void doesNotShareConnectionsBetweenServersAtOneAddress() throws Exception {
-        loop.submit(() -> backends.applyList(ListKind.DELTA, List.of(listedServer("s1", Balancer.BackendState.READY, peer.port())))).get();
-        var wires = new ArrayList<RawConnection>();
+        loop.submit(() -> connections.applyList(ListKind.DELTA,
+                List.of(listedServer("s1", Balancer.BackendState.READY, fakeServer.port())))).get();
+        var rawConnections = new ArrayList<RawConnection>();
         for (String server : List.of("s0", "s1")) {
             loop.submit(() -> start(server, "r1", Long.MAX_VALUE)).get();
-            wires.add(peer.accept());
-            wires.get(wires.size() - 1).read();
-            wires.get(wires.size() - 1).send(FakeServer.okResponse("x"));
+            rawConnections.add(fakeServer.accept());
+            rawConnections.get(rawConnections.size() - 1).read();
+            rawConnections.get(rawConnections.size() - 1).send(FakeServer.okResponse("x"));
             assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.OK);
         }
-        loop.submit(() -> backends.applyList(ListKind.DELTA, List.of(listedServer("s0", Balancer.BackendState.DRAINING, peer.port())))).get();
-        assertThat(wires.get(0).awaitClose()).isTrue();
+        loop.submit(() -> connections.applyList(ListKind.DELTA,
+                List.of(listedServer("s0", Balancer.BackendState.DRAINING, fakeServer.port())))).get();
+        assertThat(rawConnections.get(0).awaitClose()).isTrue();
         loop.submit(() -> start("s1", "r2", Long.MAX_VALUE)).get();
-        assertThat(wires.get(1).read().header("X-Request-ID")).isEqualTo("r2");
+        assertThat(rawConnections.get(1).read().header("X-Request-ID")).isEqualTo("r2");
     }
 
     /** Runs an action inside as many nested listener calls as {@code depth}. */
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
@@ -46,8 +46,9 @@
         channel.freezeTime();
         var clock = new ProxyClock();
         var config = Config.parse(ProxyFixture.config());
-        var backends = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256), new BufferBudget(Long.MAX_VALUE), 1, 1);
-        var proxy = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> { }, backends);
+        var connections = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256),
+                new BufferBudget(Long.MAX_VALUE), 1, 1);
+        var proxy = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> { }, connections);
         var discovery = new DiscoveryClient(channel.eventLoop(), NioSocketChannel::new, proxy, config.discovery(), config.settings());
         discovery.start(config.lastKnownList());
         channel.advanceTimeBy(DiscoveryClient.INITIAL_WAIT_MS - 1, TimeUnit.MILLISECONDS);
@@ -69,7 +70,8 @@
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true)));
             call = proxy.discovery.accept();
             call.read();
-            String entry = ProxyFixture.serverEntry("s7", "127.0.0.1:1", "ready").replace("\"started_ms\":7", "\"started_ms\":" + startedMs);
+            String entry = ProxyFixture.serverEntry("s7", "127.0.0.1:1", "ready")
+                    .replace("\"started_ms\":7", "\"started_ms\":" + startedMs);
             call.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, entry)));
             Balancer.ListUpdate change = proxy.nextEvent(Balancer.ListUpdate.class);
             while (change.kind() != ListKind.DELTA) {
@@ -82,7 +84,7 @@
     /** A proxy is ready if it can serve, so not without a server. */
     @Test
     void isReadyAfterTheFirstResponseWhileItHasAServer() throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(watcher(), backend)) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(watcher(), server)) {
             Balancer.ListUpdate known = proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(known.kind()).isEqualTo(ListKind.CACHED);
             assertThat(known.backends()).containsExactly(new Backend("s0", Balancer.BackendState.READY, "m", "a", 1, 7_000, 1));
@@ -94,7 +96,7 @@
             assertThat(next.read().first())
                     .matches("GET /v1/endpoints\\?from=41&hold_ms=(4[1-9]\\d|[5-9]\\d{2}|[12]\\d{3}|3[0-3]\\d{2}) HTTP/1.1");
             assertThat(readinessResponse(proxy).status()).isEqualTo(200);
-            next.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s0", backend.address(), "gone"))));
+            next.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s0", server.address(), "gone"))));
             RawConnection last = proxy.discovery.accept();
             assertThat(last.read().first()).contains("from=43&");
             assertThat(readinessResponse(proxy).status()).isEqualTo(503);
@@ -169,7 +171,8 @@
             silent.read();
             RawConnection hedge = proxy.discovery.accept();
             assertThat(hedge.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
-            hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false,
+                    ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
             assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
             assertThat(silent.awaitClose()).isTrue();
             assertThat(proxy.discovery.accept().read().first()).contains("from=42&");
@@ -198,8 +201,8 @@
             proxy.nextEvent(Balancer.ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("", "127.0.0.1:1", "ready"), "7", "null", "{}",
-                    ProxyFixture.serverEntry("s1", "localhost:1", "ready"), ProxyFixture.serverEntry("s2", "127.0.0.1:99999", "ready"),
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("", "127.0.0.1:1", "ready"), "7", "null",
+                    "{}", ProxyFixture.serverEntry("s1", "localhost:1", "ready"), ProxyFixture.serverEntry("s2", "127.0.0.1:99999", "ready"),
                     ProxyFixture.serverEntry("s3", "127.0.0.1:1", "asleep"), ProxyFixture.serverEntry("s4", "127.0.0.1:1", "ready"))));
             assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s4");
         }
@@ -235,7 +238,8 @@
             RawConnection hedge = proxy.discovery.accept();
             first.send(" ");
             hedge.read();
-            hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false,
+                    ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
             assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
             assertThat(first.awaitClose()).isTrue();
         }
@@ -259,7 +263,7 @@
     /** The watch at the old address ends at once, and the new address is asked for the full list, not for changes. */
     @Test
     void followsDiscoveryToItsNewAddress(@TempDir Path dir) throws Exception {
-        try (var backend = new FakeServer(); var moved = new FakeServer(); var proxy = new ProxyFixture(watcher(), backend)) {
+        try (var server = new FakeServer(); var moved = new FakeServer(); var proxy = new ProxyFixture(watcher(), server)) {
             proxy.nextEvent(Balancer.ListUpdate.class);
             RawConnection old = proxy.discovery.accept();
             old.read();
@@ -304,11 +308,13 @@
             // The balancer's actions are carried out in order.
             RawConnection watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
             RawConnection fetch = acceptCall(proxy.discovery, "GET /v1/endpoints HTTP");
-            watch.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+            watch.send(FakeServer.okResponse(ProxyFixture.serverList(43, false,
+                    ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
             assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
             fetch.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             acceptCall(proxy.discovery, "GET /v1/endpoints HTTP")
-                    .send(FakeServer.okResponse(ProxyFixture.serverList(43, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+                    .send(FakeServer.okResponse(ProxyFixture.serverList(43, true,
+                            ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
             Balancer.ListUpdate next = proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(next.kind()).isEqualTo(ListKind.FULL);
             assertThat(next.backends()).extracting(Backend::state).containsExactly(Balancer.BackendState.DRAINING);
@@ -321,7 +327,8 @@
             proxy.nextEvent(Balancer.ListUpdate.class);
             RawConnection watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
             acceptCall(proxy.discovery, "GET /v1/endpoints HTTP")
-                    .send(FakeServer.okResponse(ProxyFixture.serverList(44, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
+                    .send(FakeServer.okResponse(ProxyFixture.serverList(44, true,
+                            ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
             assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
             watch.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=44&");
@@ -345,7 +352,8 @@
                 // One of the two calls belongs to the watch, which continues; the other is for the full list that the balancer requested.
                 if (responses == 0) {
                     acceptCall(moved, "GET /v1/endpoints HTTP")
-                            .send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
+                            .send(FakeServer.okResponse(ProxyFixture.serverList(3, true,
+                                    ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
                 }
             }
         }
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
@@ -81,14 +81,14 @@
                 ((ObjectNode) json.path("settings").path("invariants")).put("must_ask_in_us", withinMs * 1_000);
                 Config config = Config.parse(json);
                 var clock = new ProxyClock();
-                var backends = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256),
+                var connections = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256),
                         new BufferBudget(Long.MAX_VALUE), 1, 1);
-                var proxy = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> {
+                var balancerDriver = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> {
                     if (event instanceof Balancer.ListUpdate members) {
                         onList(members.kind());
                     }
-                }, backends);
-                discovery = new DiscoveryClient(channel.eventLoop(), proxy, config.discovery(), config.settings(), this::send);
+                }, connections);
+                discovery = new DiscoveryClient(channel.eventLoop(), balancerDriver, config.discovery(), config.settings(), this::send);
                 discovery.start(config.lastKnownList());
             } catch (IOException | Config.InvalidConfigException e) {
                 throw new AssertionError(e);
--- a/proxy/src/test/java/walkpost/proxy/DiscoverySlope.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoverySlope.java
@@ -20,14 +20,14 @@
             + "\"state\":\"%s\",\"weight\":1.0,\"started_ms\":1796000000000}";
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final ServerConnections backends = new ServerConnections(new ProxyClock(), channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(1_024),
-            new BufferBudget(Long.MAX_VALUE), 15_000_000, 200_000);
+    private final ServerConnections connections = new ServerConnections(new ProxyClock(), channel.eventLoop(), EmbeddedChannel::new,
+            new ConnectionBudget(1_024), new BufferBudget(Long.MAX_VALUE), 15_000_000, 200_000);
     private ListRequest.Callback callback;
 
     private DiscoverySlope() throws Config.InvalidConfigException, IOException {
         channel.freezeTime();
         Config config = Config.parse(Config.JSON.readTree(config(1)));
-        var proxy = new BalancerDriver(new ProxyClock(), channel.eventLoop(), new Policy(config.settings()), backends);
+        var proxy = new BalancerDriver(new ProxyClock(), channel.eventLoop(), new Policy(config.settings()), connections);
         var discovery = new DiscoveryClient(channel.eventLoop(), proxy, new InetSocketAddress("127.0.0.1", 9), config.settings(),
                 (address, uri, connectTimeoutMs, newCallback) -> {
                     callback = newCallback;
@@ -83,7 +83,7 @@
         if (replaced == 0) {
             System.out.printf("servers %5d  list %.3f MB  parse %.1f ms  taken in %.1f ms  tree %.2f MB  endpoints and module %.2f MB (%d "
                     + "B a server)  direct buffers %d  ready %d%n", servers, fullList.length / 1e6, parseMs, firstMs, treeBytes / 1e6,
-                    heapBytes / 1e6, heapBytes / servers, directBuffers, reachable[0].backends.availableCount());
+                    heapBytes / 1e6, heapBytes / servers, directBuffers, reachable[0].connections.availableCount());
             return;
         }
         byte[] changes = changes(replaced);
@@ -91,7 +91,7 @@
         fromNs = cpuNs();
         reachable[0].callback.received(Config.JSON.readTree(changes));
         System.out.printf("servers %5d  replaced %4d  changes %.4f MB  parse %.2f ms  parsed and taken in %.2f ms  ready %d%n", servers,
-                replaced, changes.length / 1e6, changesParseMs, (cpuNs() - fromNs) / 1e6, reachable[0].backends.availableCount());
+                replaced, changes.length / 1e6, changesParseMs, (cpuNs() - fromNs) / 1e6, reachable[0].connections.availableCount());
     }
 
     private static byte[] fullList(int servers, String state, int first) {
--- a/proxy/src/test/java/walkpost/proxy/FakeFleet.java
+++ b/proxy/src/test/java/walkpost/proxy/FakeFleet.java
@@ -61,9 +61,10 @@
     /** Puts an order on a server in force and notifies the listener. */
     void putInForce(String server, String payload, String... rivalIds) {
         var key = new Order.Key("exclusion", server);
-        var acting = new EffectiveOrder(payload, order(key, payload, "o1"), List.of(rivalIds).stream().map(id -> order(key, payload, id)).toList());
-        orders.put(key, acting);
-        notifyListener(each -> each.effectiveOrderChanged(key, acting));
+        var effectiveOrder = new EffectiveOrder(payload, order(key, payload, "o1"), List.of(rivalIds).stream()
+                .map(id -> order(key, payload, id)).toList());
+        orders.put(key, effectiveOrder);
+        notifyListener(each -> each.effectiveOrderChanged(key, effectiveOrder));
     }
 
     private static Order order(Order.Key key, String payload, String id) {
--- a/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
@@ -84,9 +84,10 @@
     /** Both processes of an upgrade are the same member, so the orders' directory belongs to the old process until that ends. */
     @Test
     void theNewProcessBecomesTheMemberOnceTheOldOneHasEnded() throws Exception {
-        try (var backend = new FakeServer(); var discovery = new FakeServer(); var platform = new SocketActivator(dir,
-                UpgradeTest.config(backend, discovery), fleet("127.0.0.1:0", "directory = \"orders\""))) {
-            discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", backend.address(), "ready"))));
+        try (var server = new FakeServer(); var discovery = new FakeServer(); var platform = new SocketActivator(dir,
+                UpgradeTest.config(server, discovery), fleet("127.0.0.1:0", "directory = \"orders\""))) {
+            discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true,
+                    ProxyFixture.serverEntry("s0", server.address(), "ready"))));
             platform.startProxy();
             assertThat(platform.waitForLine("fleet_started|joins_later")).contains("fleet_started");
             platform.waitForLine("listening proxy=n0 socket=inherited");
--- a/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
@@ -56,7 +56,8 @@
     /** The caller has half-closed its connection by then, as some callers do, and the event loop must serve others meanwhile. */
     @Test
     void answersAnOrderOnceItIsAcknowledgedWithoutBlockingOtherCalls() throws Exception {
-        try (var backend = new FakeServer(); var proxy = proxy(backend); var out = proxy.operatorConnection(); var back = proxy.operatorConnection()) {
+        try (var server = new FakeServer(); var proxy = proxy(server); var out = proxy.operatorConnection();
+                var back = proxy.operatorConnection()) {
             out.send("exclude s0 fleet o1 -\n").shutdownOutput();
             FakeFleet.IssuedOrder first = FakeServer.takeNext(fleet.issuedOrders);
             assertThat(first).extracting("key", "id", "replaces", "payload")
@@ -104,7 +105,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"fleet\n", "orders\n", "facts proxy\n", "held s0 o1\n", "exclude s0 fleet o1\n", "include s0 fleet o1 -\n"})
     void rejectsFleetCallsWithoutAFleet(String call) throws Exception {
-        try (var backend = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, backend)) {
+        try (var server = new FakeServer(); var proxy = ProxyFixture.withOperatorEndpoint((event, actions) -> { }, temp, server)) {
             assertThat(proxy.callOperator(call)).startsWith("FAILURE ").contains("WALKPOST_FLEET");
             assertThat(proxy.events).noneMatch(Excluded.class::isInstance);
         }
@@ -181,7 +182,7 @@
     /** A server is in use only if neither the operators' endpoint nor the fleet excludes it; the balancer is notified only of changes. */
     @Test
     void excludesAServerIfTheEndpointOrTheFleetExcludesIt() throws Exception {
-        try (var backend = new FakeServer(); var proxy = proxy(backend)) {
+        try (var server = new FakeServer(); var proxy = proxy(server)) {
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
             fleet.putInForce("s0", EXCLUDED_PAYLOAD);
             assertThat(proxy.callOperator("include s0\n")).isEqualTo("SUCCESS s0 is given back here, but the fleet has it out\n");
@@ -204,8 +205,8 @@
      */
     @Test
     void keepsExclusionsUntilItHasCaughtUpAgain() throws Exception {
-        try (var backend = new FakeServer()) {
-            try (var proxy = proxy(backend)) {
+        try (var server = new FakeServer()) {
+            try (var proxy = proxy(server)) {
                 fleet.setCaughtUp(true);
                 fleet.putInForce("s0", EXCLUDED_PAYLOAD);
                 fleet.putInForce("s1", EXCLUDED_PAYLOAD);
@@ -215,7 +216,7 @@
             }
             assertThat(fleet.closed).isCompleted();
             var nextFleet = new FakeFleet(ONE_HOUR_US);
-            try (var proxy = ProxyFixture.inFleet(() -> nextFleet, null, (event, actions) -> { }, temp, backend)) {
+            try (var proxy = ProxyFixture.inFleet(() -> nextFleet, null, (event, actions) -> { }, temp, server)) {
                 assertThat(proxy.nextEvent(Excluded.class).backend()).isIn("s0", "s1");
                 assertThat(proxy.nextEvent(Excluded.class).backend()).isIn("s0", "s1");
                 nextFleet.setCaughtUp(false);
@@ -238,7 +239,8 @@
                 actions.accept(new Send(a.id(), "s9", 0));
             }
         }, temp); var client = proxy.client()) {
-            proxy.discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s9", late.address(), "ready"))));
+            proxy.discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true,
+                    ProxyFixture.serverEntry("s9", late.address(), "ready"))));
             fleet.putInForce("s9", EXCLUDED_PAYLOAD);
             Balancer.ListUpdate list = proxy.nextEvent(Balancer.ListUpdate.class);
             while (list.backends().isEmpty()) {
@@ -253,7 +255,7 @@
     @Test
     void appliesAnExclusionThatItCannotStore() throws Exception {
         Files.createFile(temp.resolve("excluded-by-fleet"));
-        try (var backend = new FakeServer(); var proxy = proxy(backend)) {
+        try (var server = new FakeServer(); var proxy = proxy(server)) {
             fleet.putInForce("s0", EXCLUDED_PAYLOAD);
             assertThat(proxy.nextEvent(Excluded.class)).isEqualTo(new Excluded("s0"));
             Files.delete(temp.resolve("excluded-by-fleet"));
@@ -271,13 +273,13 @@
     void joinsOnceTheOldProcessHasReleasedTheAddress() throws Exception {
         var ended = new CompletableFuture<Void>();
         var anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        try (var backend = new FakeServer(); var socket = ServerSocketChannel.open().bind(anywhere);
-                var old = proxy(backend); var proxy = ProxyFixture.inFleet(() -> {
+        try (var server = new FakeServer(); var socket = ServerSocketChannel.open().bind(anywhere);
+                var old = proxy(server); var proxy = ProxyFixture.inFleet(() -> {
                     if (!ended.isDone()) {
                         throw new FleetException.AddressTaken("127.0.0.1:7401", "in use");
                     }
                     return new FakeFleet(ONE_HOUR_US);
-                }, socket, (event, actions) -> { }, temp, backend)) {
+                }, socket, (event, actions) -> { }, temp, server)) {
             assertThat(proxy.callOperator("fleet\n")).startsWith("FAILURE can't listen at 127.0.0.1:7401");
             fleet.putInForce("s0", EXCLUDED_PAYLOAD);
             assertThat(proxy.nextEvent(Excluded.class)).isEqualTo(new Excluded("s0"));
@@ -308,21 +310,23 @@
     @Test
     void anObserverKeepsItsExclusionsAfterItsVoterHasEnded() throws Exception {
         Fleet voter = Fleet.open(fleetFile("v1", ""), Map.of());
-        try (var backend = new FakeServer();
+        try (var server = new FakeServer();
                 var proxy = ProxyFixture.inFleet(ProxyFleetMember.opener(fleetFile("n0", "\"" + voter.address() + "\""), Map.of()), null,
-                        (event, actions) -> { }, temp, backend)) {
+                        (event, actions) -> { }, temp, server)) {
             while (!json(proxy.callOperator("fleet\n")).get("level").booleanValue()) {
                 Thread.onSpinWait();
             }
             JsonNode known = json(proxy.callOperator("fleet\n"));
             assertThat(known.get("feeds")).isEqualTo(Config.JSON.readTree("[\"v1\"]"));
             assertThat(known.get("control_age_ms").isIntegralNumber()).isTrue();
-            assertThat(proxy.callOperator("exclude s0 fleet o1 -\n")).isEqualTo("SUCCESS s0 is taken out on the fleet, order=o1 version=1\n");
+            assertThat(proxy.callOperator("exclude s0 fleet o1 -\n"))
+                    .isEqualTo("SUCCESS s0 is taken out on the fleet, order=o1 version=1\n");
             assertThat(proxy.nextEvent(Excluded.class)).isEqualTo(new Excluded("s0"));
             while (json(proxy.callOperator("held s0 o1\n")).get("held").intValue() < 2) {
                 Thread.onSpinWait();
             }
-            assertThat(proxy.callOperator("exclude s0 fleet o2 other\n")).startsWith("FAILURE v1 says Overtaken: o2 ").contains("look at 'orders'");
+            assertThat(proxy.callOperator("exclude s0 fleet o2 other\n")).startsWith("FAILURE v1 says Overtaken: o2 ")
+                    .contains("look at 'orders'");
             voter.close();
             while (json(proxy.callOperator("fleet\n")).get("level").booleanValue()) {
                 Thread.onSpinWait();
@@ -340,7 +344,7 @@
     /** The status is published at most once a second, if it has changed or the published one will soon exceed its maximum age. */
     @Test
     void publishesItsStatus() throws Exception {
-        try (var backend = new FakeServer(); var proxy = proxy(backend)) {
+        try (var server = new FakeServer(); var proxy = proxy(server)) {
             String previous = FakeServer.takeNext(fleet.publishedEntries);
             assertThat(previous).matches("proxy n0 \\{\"ready\":(true|false),\"open\":0,\"servers\":[01],\"version\":\"unknown\"}");
             assertThat(proxy.callOperator("exclude s0\n")).startsWith("SUCCESS");
--- a/proxy/src/test/java/walkpost/proxy/ServerConnectionsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServerConnectionsTest.java
@@ -29,8 +29,8 @@
         "503 Unavailable,X-Not-Processed: 0,ERROR", "504 Late,X-Other: 1,ERROR", "500 Error,X-Not-Processed: 1,ERROR",
         "404 Unknown,X-Other: 1,ERROR", "200 OK,X-Not-Processed: 1,OK"})
     void mapsResponsesToOutcomes(String status, String header, Outcome outcome) throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
-            backend.answerAll(FakeServer.response(status, "x", header));
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            server.answerAll(FakeServer.response(status, "x", header));
             client.send(ProxyFixture.get("r1"));
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(outcome);
             assertThat(client.read().status()).isEqualTo(outcome == Outcome.OK ? 200 : 502);
@@ -41,11 +41,11 @@
     @CsvSource({"''", "HTTP/1.1 200 OK\r\nContent-Le", "'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'",
         "'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'"})
     void reportsAResetIfTheConnectionBreaksAfterTheLastByte(String partOfResponse) throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
-            try (RawConnection attempt = backend.accept()) {
-                attempt.read();
-                attempt.send(partOfResponse);
+            try (RawConnection connection = server.accept()) {
+                connection.read();
+                connection.send(partOfResponse);
             }
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
             assertThat(client.read().status()).isEqualTo(502);
@@ -54,9 +54,9 @@
 
     @Test
     void reportsConnectFailedIfTheConnectionIsRefused() throws Exception {
-        var backend = new FakeServer();
-        backend.close();
-        try (var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+        var server = new FakeServer();
+        server.close();
+        try (var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.CONNECT_FAILED);
             assertThat(client.read().status()).isEqualTo(502);
@@ -74,14 +74,14 @@
         "HTTP/2.7 200 OK\r\nContent-Length: 4\r\n\r\nmade",
         "HTTP/1.1 101 Other\r\nConnection: upgrade\r\nUpgrade: other\r\n\r\n"})
     void reportsAnErrorAndClosesTheConnectionAfterAMalformedResponse(String malformed) throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
-            RawConnection attempt = backend.accept();
-            attempt.read();
-            attempt.send(malformed + FakeServer.okResponse("not asked for"));
+            RawConnection connection = server.accept();
+            connection.read();
+            connection.send(malformed + FakeServer.okResponse("not asked for"));
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
-            assertThat(attempt.awaitClose()).isTrue();
+            assertThat(connection.awaitClose()).isTrue();
         }
     }
 
@@ -90,23 +90,23 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nmade",
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade"})
     void passesOnUnusualButValidResponses(String unusual) throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
-            backend.answerAll(unusual);
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
+            server.answerAll(unusual);
             assertThat(client.send(ProxyFixture.get("r1")).read().body()).isEqualTo("made");
         }
     }
 
     @Test
     void doesNotUseASecondResponseForTheNextRequest() throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
-            RawConnection attempt = backend.accept();
-            attempt.read();
-            attempt.send(FakeServer.okResponse("one") + FakeServer.okResponse("two"));
+            RawConnection connection = server.accept();
+            connection.read();
+            connection.send(FakeServer.okResponse("one") + FakeServer.okResponse("two"));
             assertThat(client.read().body()).isEqualTo("one");
-            assertThat(attempt.awaitClose()).isTrue();
+            assertThat(connection.awaitClose()).isTrue();
             client.send(ProxyFixture.get("r2"));
-            RawConnection next = backend.accept();
+            RawConnection next = server.accept();
             next.read();
             next.send(FakeServer.okResponse("three"));
             assertThat(client.read().body()).isEqualTo("three");
@@ -120,23 +120,23 @@
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade", "HTTP/1.1 200 OK\r\nConte", "made"})
     void doesNotUseBytesAfterAResponseForAQueuedRequest(String trailing) throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             boolean first = event instanceof Arrival a && a.id().equals("r1");
             if (first || event instanceof AttemptEnded e && e.id().equals("r1")) {
                 actions.accept(new Send(first ? "r1" : "r2", "s0", 0));
             } else if (event instanceof AttemptEnded e && !e.last()) {
                 actions.accept(new Fail(e.id()));
             }
-        }, backend); var one = proxy.client(); var two = proxy.client()) {
+        }, server); var one = proxy.client(); var two = proxy.client()) {
             one.send(ProxyFixture.get("r1"));
-            RawConnection first = backend.accept();
+            RawConnection first = server.accept();
             first.read();
             proxy.nextEvent(Arrival.class);
             two.send(ProxyFixture.get("r2"));
             proxy.nextEvent(Arrival.class);
             first.send(FakeServer.okResponse("one") + trailing);
             assertThat(one.read().body()).isEqualTo("one");
-            BlockingQueue<RawConnection.Message> seen = backend.answerAll(FakeServer.okResponse("two"));
+            BlockingQueue<RawConnection.Message> seen = server.answerAll(FakeServer.okResponse("two"));
             assertThat(two.read().body()).isEqualTo("two");
             assertThat(FakeServer.takeNext(seen).header("X-Request-ID")).isEqualTo("r2");
             assertThat(first.awaitClose()).isTrue();
@@ -145,13 +145,13 @@
 
     @Test
     void readsOnlyTheHeadOfALongResponseOtherThan200() throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend); var client = proxy.client()) {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), server); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
-            RawConnection attempt = backend.accept();
-            attempt.read();
-            attempt.send("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 70000\r\n\r\n");
+            RawConnection connection = server.accept();
+            connection.read();
+            connection.send("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 70000\r\n\r\n");
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.FULL);
-            assertThat(attempt.awaitClose()).isTrue();
+            assertThat(connection.awaitClose()).isTrue();
         }
     }
 
@@ -178,14 +178,14 @@
 
     @Test
     void reusesConnectionsUntilTheyAreReleased() throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
+        try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
             if (event instanceof Arrival a && a.id().equals("r3")) {
                 actions.accept(new Release("s0"));
             }
             ProxyFixture.sendTo("s0").handle(event, actions);
-        }, backend); var client = proxy.client()) {
+        }, server); var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
-            RawConnection first = backend.accept();
+            RawConnection first = server.accept();
             for (String next : List.of("r2", "r3")) {
                 first.read();
                 first.send(FakeServer.okResponse("x"));
@@ -193,7 +193,7 @@
                 client.send(ProxyFixture.get(next));
             }
             assertThat(first.awaitClose()).isTrue();
-            RawConnection second = backend.accept();
+            RawConnection second = server.accept();
             assertThat(second.read().header("X-Request-ID")).isEqualTo("r3");
         }
     }
@@ -201,22 +201,22 @@
     /** A request that crosses the server's close of an idle connection may have run, so this side must close the connection first. */
     @Test
     void closesIdleConnectionsBeforeTheServerDoes() throws Exception {
-        try (var backend = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 1_024, 500_000, backend);
+        try (var server = new FakeServer(); var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 1_024, 500_000, server);
                 var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
-            RawConnection attempt = backend.accept();
-            attempt.read();
-            attempt.send(FakeServer.okResponse("x"));
+            RawConnection connection = server.accept();
+            connection.read();
+            connection.send(FakeServer.okResponse("x"));
             client.read();
-            assertThat(attempt.awaitClose()).isTrue();
+            assertThat(connection.awaitClose()).isTrue();
         }
     }
 
     /** Rule 3 counts a send from its first byte, so an attempt that still waits for its connection must not be sent after a drain. */
     @Test
     void aDrainStopsAttemptsThatAreStillConnecting() throws Exception {
-        try (var full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); var backend = new FakeServer();
-                var proxy = new ProxyFixture(watching("s1"), backend); var client = proxy.client()) {
+        try (var full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); var server = new FakeServer();
+                var proxy = new ProxyFixture(watching("s1"), server); var client = proxy.client()) {
             List<Socket> queued = fillAcceptQueue(full);
             String address = "127.0.0.1:" + full.getLocalPort();
             RawConnection watch = proxy.discovery.accept();
@@ -252,14 +252,14 @@
         try (var old = new FakeServer(); var moved = new FakeServer(); var proxy = new ProxyFixture(watching("s0"), 1_024, 60_000_000, old);
                 var client = proxy.client()) {
             client.send(ProxyFixture.get("r1"));
-            RawConnection attempt = old.accept();
-            attempt.read();
-            attempt.send(FakeServer.okResponse("old"));
+            RawConnection connection = old.accept();
+            connection.read();
+            connection.send(FakeServer.okResponse("old"));
             assertThat(client.read().body()).isEqualTo("old");
             RawConnection watch = proxy.discovery.accept();
             watch.read();
             watch.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s0", moved.address(), "ready"))));
-            assertThat(attempt.awaitClose()).isTrue();
+            assertThat(connection.awaitClose()).isTrue();
             moved.answerAll(FakeServer.okResponse("new"));
             assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("new");
         }
