--- a/proxy/src/main/java/walkpost/DiscoveryBackOff.java
+++ b/proxy/src/main/java/walkpost/DiscoveryBackOff.java
@@ -8,7 +8,7 @@
     /**
      * The longest back-off, in microseconds. After a failed call, a change has to reach the proxy within 6 s from the time when discovery
      * knows it and can be reached. Two such back-offs are the longest time taken by a call that began just before that moment. A busy
-     * discovery takes 1.5 s to answer, and of the 2.5 s that are left, 0.1 s are for the machine. {@code proxy.ListClock} has
+     * discovery takes 1.5 s to answer, and of the 2.5 s that are left, 0.1 s are for the machine. {@code proxy.ListCallTiming} has
      * the whole sum.
      */
     public static final long LONGEST_US = 2_400_000;
