--- a/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
@@ -112,7 +112,7 @@
             watchCall.end();
             watchCall = null;
         } else if (on && watchCall == null) {
-            // The first call does not wait for news, so that changes missed so far, or the fact that there are none, arrive at once.
+            // The first call does not wait for changes, so that changes missed so far, or the fact that there are none, arrive at once.
             watchCall = new HedgedCall(true, 0);
         }
     }
--- a/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
+++ b/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
@@ -4,13 +4,13 @@
 import walkpost.DiscoveryBackOff;
 
 /**
- * Computes when the proxy calls discovery for the list of servers: how long a call may wait for news, when a call without a response is
+ * Computes when the proxy calls discovery for the list of servers: how long a call may wait for changes, when a call without a response is
  * repeated in parallel (hedged), when it times out, and how soon failed calls are repeated. Immutable and without I/O; all times are in
  * milliseconds.
  *
  * <p>The protocol sets the deadline: a change that a silent watch misses counts as published 6 s after the watch fell silent, or 2 s after
  * the end of its wait if that is later, whether or not it arrived (STANDING, "One clock for silence"). Before the end of its wait a silent
- * watch cannot be told apart from one without news. So waits are short, and as soon as a wait is over the list is requested again, in
+ * watch cannot be told apart from one without changes. So waits are short, and as soon as a wait is over the list is requested again, in
  * parallel to the silent call, which may only be late. The first valid response ends the other calls. There are two such hedge calls,
  * because the first may fall silent too.
  *
@@ -68,7 +68,7 @@
     private static final int MAX_HEDGE_RETRY_DOUBLINGS = 4;
     /**
      * A service shared by all proxies takes their calls in turn, as after a mass start, and ends calls that waited too long itself. A call
-     * that need not wait for news is silent only after that time, and a change it misses counts 6 s after its start.
+     * that need not wait for changes is silent only after that time, and a change it misses counts 6 s after its start.
      */
     private static final long SERVICE_NO_WAIT_HEDGE_MS = 2_000;
     private static final long SERVICE_NO_WAIT_SECOND_HEDGE_MS = 4_000;
@@ -92,13 +92,13 @@
         this.maxWaitMs = Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, askWithinMs / CALLS_PER_REQUIRED_PERIOD));
     }
 
-    /** Returns the longest time that a call of the watch may wait for news. */
+    /** Returns the longest time that a call of the watch may wait for changes. */
     long maxWaitMs() {
         return maxWaitMs;
     }
 
     /**
-     * Returns how long a call of the watch waits for news, at random because all proxies start together and must not call in step.
+     * Returns how long a call of the watch waits for changes, at random because all proxies start together and must not call in step.
      *
      * @param first whether this is the first call that waits: the first waits of a fleet that started at once are spread over the whole
      *              range, later ones over its last quarter
@@ -109,7 +109,7 @@
         return (long) (maxWaitMs * (minFraction + (1 - minFraction) * draw));
     }
 
-    /** Returns the schedule of a call that waits up to {@code waitMs} for news; 0 if it is answered at once. */
+    /** Returns the schedule of a call that waits up to {@code waitMs} for changes; 0 if it is answered at once. */
     CallSchedule schedule(long waitMs) {
         if (pushed) {
             return new CallSchedule(waitMs, List.of(waitMs + HEDGE_AFTER_WAIT_MS, waitMs + AGENT_SECOND_HEDGE_AFTER_WAIT_MS),
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
@@ -201,8 +201,9 @@
             proxy.nextEvent(Balancer.ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("", "127.0.0.1:1", "ready"), "7", "null",
-                    "{}", ProxyFixture.serverEntry("s1", "localhost:1", "ready"), ProxyFixture.serverEntry("s2", "127.0.0.1:99999", "ready"),
+            call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true,
+                    ProxyFixture.serverEntry("", "127.0.0.1:1", "ready"), "7", "null", "{}",
+                    ProxyFixture.serverEntry("s1", "localhost:1", "ready"), ProxyFixture.serverEntry("s2", "127.0.0.1:99999", "ready"),
                     ProxyFixture.serverEntry("s3", "127.0.0.1:1", "asleep"), ProxyFixture.serverEntry("s4", "127.0.0.1:1", "ready"))));
             assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s4");
         }
