--- a/proxy/src/main/java/walkpost/proxy/DiscoveryRetryPolicy.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryRetryPolicy.java
@@ -1,7 +1,5 @@
 package walkpost.proxy;
 
-import walkpost.DiscoveryBackOff;
-
 /**
  * Decides when to call discovery again after a failed call, ahead of the balancer's back-off ({@link walkpost.DiscoveryBackOff}). Not
  * thread-safe, without I/O; times are in milliseconds.
--- a/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
+++ b/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
@@ -1,7 +1,6 @@
 package walkpost.proxy;
 
 import java.util.List;
-import walkpost.DiscoveryBackOff;
 
 /**
  * Computes when the proxy calls discovery for the list of servers: how long a call may wait for changes, when a call without a response is
--- a/proxy/src/main/java/walkpost/proxy/ServerConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnections.java
@@ -71,7 +71,7 @@
         void onBodySent();
 
         /** A response that is too long to be buffered has started. */
-        void onStreamedResponse(StreamedResponse stream);
+        void onStreamedResponse(StreamedResponse response);
 
         /** The attempt has ended; called once. {@code response} is null unless the outcome is {@link Outcome#OK} and was not streamed. */
         void onEnded(Outcome outcome, long latencyUs, BufferedResponse response);
@@ -102,9 +102,9 @@
 
     /** Sets the time-outs of connections. If the idle time-out gets shorter, closes all idle connections: they may exceed it. */
     void setTimeouts(long connIdleUs, long connectTimeoutUs) {
-        int connectMs = (int) Math.max(1, connectTimeoutUs / 1_000);
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs);
-        endpoints.values().forEach(endpoint -> endpoint.pool.setConnectTimeoutMs(connectMs));
+        int connectTimeoutMs = (int) Math.max(1, connectTimeoutUs / 1_000);
+        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
+        endpoints.values().forEach(endpoint -> endpoint.pool.setConnectTimeoutMs(connectTimeoutMs));
         // This side closes well before the server does: a request that crosses the server's close is reset and may have run.
         long previousIdleUs = idleUs;
         idleUs = connIdleUs * 3 / 5;
--- a/proxy/src/test/java/walkpost/proxy/AttemptsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/AttemptsTest.java
@@ -55,7 +55,7 @@
         fakeServer = new FakeServer();
         connections = new ServerConnections(clock, loop, NioSocketChannel::new, new ConnectionBudget(1_024), new BufferBudget(1 << 20),
                 15_000_000, 1_000_000);
-        loop.submit(() -> listServer(Balancer.BackendState.READY)).get();
+        loop.submit(() -> listServer(BackendState.READY)).get();
     }
 
     @AfterEach
@@ -65,11 +65,11 @@
         fakeServer.close();
     }
 
-    private List<ServerConnections.Attempt> listServer(Balancer.BackendState state) {
+    private List<ServerConnections.Attempt> listServer(BackendState state) {
         return connections.applyList(ListKind.FULL, List.of(listedServer("s0", state, fakeServer.port())));
     }
 
-    private static ServerConnections.ListedServer listedServer(String id, Balancer.BackendState state, int port) {
+    private static ServerConnections.ListedServer listedServer(String id, BackendState state, int port) {
         return new ServerConnections.ListedServer(new Balancer.Backend(id, state, "m", "a", 1, 7, 1),
                 new InetSocketAddress("127.0.0.1", port));
     }
@@ -107,7 +107,7 @@
             throw new ChannelException("Too many open files");
         }, new ConnectionBudget(1_024), new BufferBudget(1 << 20), 15_000_000, 1_000_000);
         loop.submit(() -> withoutSockets.applyList(ListKind.FULL,
-                List.of(listedServer("s0", Balancer.BackendState.READY, fakeServer.port())))).get();
+                List.of(listedServer("s0", BackendState.READY, fakeServer.port())))).get();
         loop.submit(() -> withoutSockets.newAttempt("s0", get("r1"), 5_000_000, Long.MAX_VALUE, new OutcomeRecorder()).start()).get();
         assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.NOT_SENT);
     }
@@ -124,7 +124,7 @@
         var unsent = new ArrayList<ServerConnections.Attempt>();
         loop.submit(() -> nest(depth, () -> {
             start("r2", Long.MAX_VALUE);
-            unsent.addAll(listServer(Balancer.BackendState.DRAINING));
+            unsent.addAll(listServer(BackendState.DRAINING));
             unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
         })).get();
         RawConnection.Message received = rawConnection.read();
@@ -147,8 +147,8 @@
     private void stop(ServerConnections.Attempt attempt, String cause) {
         List<ServerConnections.Attempt> unsent = switch (cause) {
             case "cancelled" -> List.of(attempt);
-            case "drained" -> listServer(Balancer.BackendState.DRAINING);
-            case "moved" -> connections.applyList(ListKind.DELTA, List.of(listedServer("s0", Balancer.BackendState.READY, 1)));
+            case "drained" -> listServer(BackendState.DRAINING);
+            case "moved" -> connections.applyList(ListKind.DELTA, List.of(listedServer("s0", BackendState.READY, 1)));
             case "gone" -> connections.applyList(ListKind.FULL, List.of());
             default -> connections.exclude("s0");
         };
@@ -159,7 +159,7 @@
     @Test
     void doesNotShareConnectionsBetweenServersAtOneAddress() throws Exception {
         loop.submit(() -> connections.applyList(ListKind.DELTA,
-                List.of(listedServer("s1", Balancer.BackendState.READY, fakeServer.port())))).get();
+                List.of(listedServer("s1", BackendState.READY, fakeServer.port())))).get();
         var rawConnections = new ArrayList<RawConnection>();
         for (String server : List.of("s0", "s1")) {
             loop.submit(() -> start(server, "r1", Long.MAX_VALUE)).get();
@@ -169,7 +169,7 @@
             assertThat(FakeServer.takeNext(outcomes)).isEqualTo(Outcome.OK);
         }
         loop.submit(() -> connections.applyList(ListKind.DELTA,
-                List.of(listedServer("s0", Balancer.BackendState.DRAINING, fakeServer.port())))).get();
+                List.of(listedServer("s0", BackendState.DRAINING, fakeServer.port())))).get();
         assertThat(rawConnections.get(0).awaitClose()).isTrue();
         loop.submit(() -> start("s1", "r2", Long.MAX_VALUE)).get();
         assertThat(rawConnections.get(1).read().header("X-Request-ID")).isEqualTo("r2");
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryClientTest.java
@@ -1,6 +1,7 @@
 package walkpost.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import walkpost.Balancer;
 import walkpost.Balancer.Backend;
 import walkpost.Balancer.BackendState;
@@ -27,7 +28,7 @@
     /** Returns a balancer that opens the watch at its first event and again after each failed call. */
     private static ProxyFixture.BalancerStub watcher() {
         return (event, actions) -> {
-            if (event instanceof Balancer.ListUpdate members && (members.kind() == ListKind.CACHED || members.kind() == ListKind.FAILED)) {
+            if (event instanceof ListUpdate update && (update.kind() == ListKind.CACHED || update.kind() == ListKind.FAILED)) {
                 actions.accept(new Watch(true));
             }
         };
@@ -73,9 +74,9 @@
             String entry = ProxyFixture.serverEntry("s7", "127.0.0.1:1", "ready")
                     .replace("\"started_ms\":7", "\"started_ms\":" + startedMs);
             call.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, entry)));
-            Balancer.ListUpdate change = proxy.nextEvent(Balancer.ListUpdate.class);
+            ListUpdate change = proxy.nextEvent(ListUpdate.class);
             while (change.kind() != ListKind.DELTA) {
-                change = proxy.nextEvent(Balancer.ListUpdate.class);
+                change = proxy.nextEvent(ListUpdate.class);
             }
             assertThat(change.backends().get(0).startedAtUs()).isGreaterThan((startedMs + Duration.ofMinutes(59).toMillis()) * 1_000);
         }
@@ -85,9 +86,9 @@
     @Test
     void isReadyAfterTheFirstResponseWhileItHasAServer() throws Exception {
         try (var server = new FakeServer(); var proxy = new ProxyFixture(watcher(), server)) {
-            Balancer.ListUpdate known = proxy.nextEvent(Balancer.ListUpdate.class);
+            ListUpdate known = proxy.nextEvent(ListUpdate.class);
             assertThat(known.kind()).isEqualTo(ListKind.CACHED);
-            assertThat(known.backends()).containsExactly(new Backend("s0", Balancer.BackendState.READY, "m", "a", 1, 7_000, 1));
+            assertThat(known.backends()).containsExactly(new Backend("s0", BackendState.READY, "m", "a", 1, 7_000, 1));
             RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
             call.send(FakeServer.okResponse(ProxyFixture.serverList(41, false)));
@@ -106,17 +107,17 @@
     @Test
     void deliversChangesAndFullLists() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s7", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
             call = proxy.discovery.accept();
             call.read();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s7", "127.0.0.1:1", "draining"))));
-            Balancer.ListUpdate change = proxy.nextEvent(Balancer.ListUpdate.class);
+            ListUpdate change = proxy.nextEvent(ListUpdate.class);
             assertThat(change.kind()).isEqualTo(ListKind.DELTA);
-            assertThat(change.backends()).extracting(Backend::state).containsExactly(Balancer.BackendState.DRAINING);
+            assertThat(change.backends()).extracting(Backend::state).containsExactly(BackendState.DRAINING);
         }
     }
 
@@ -148,12 +149,12 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n28\r\n{\"version\":42,\"full\":true,\"servers\":[]} \r\n"})
     void notifiesTheBalancerOfAFailedCall(String response) throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             try (RawConnection call = proxy.discovery.accept()) {
                 call.read();
                 call.send(response);
             }
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class)).isEqualTo(new Balancer.ListUpdate(ListKind.FAILED, List.of()));
+            assertThat(proxy.nextEvent(ListUpdate.class)).isEqualTo(new ListUpdate(ListKind.FAILED, List.of()));
             assertThat(proxy.discovery.accept().read().first()).contains("from=41&hold_ms=0");
         }
     }
@@ -162,18 +163,18 @@
     @Test
     void hedgesASilentWatch() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection first = proxy.discovery.accept();
             first.read();
             first.send(FakeServer.okResponse(ProxyFixture.serverList(41, false)));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
             RawConnection silent = proxy.discovery.accept();
             silent.read();
             RawConnection hedge = proxy.discovery.accept();
             assertThat(hedge.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
             hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false,
                     ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
+            assertThat(proxy.nextEvent(ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
             assertThat(silent.awaitClose()).isTrue();
             assertThat(proxy.discovery.accept().read().first()).contains("from=42&");
         }
@@ -183,14 +184,14 @@
     @Test
     void continuesACallWhoseHedgeFails() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection first = proxy.discovery.accept();
             first.read();
             try (RawConnection second = proxy.discovery.accept()) {
                 second.read();
             }
             first.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
         }
     }
 
@@ -198,14 +199,14 @@
     @Test
     void leavesMalformedEntriesOut() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true,
                     ProxyFixture.serverEntry("", "127.0.0.1:1", "ready"), "7", "null", "{}",
                     ProxyFixture.serverEntry("s1", "localhost:1", "ready"), ProxyFixture.serverEntry("s2", "127.0.0.1:99999", "ready"),
                     ProxyFixture.serverEntry("s3", "127.0.0.1:1", "asleep"), ProxyFixture.serverEntry("s4", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s4");
+            assertThat(proxy.nextEvent(ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s4");
         }
     }
 
@@ -213,16 +214,16 @@
     @Test
     void requestsTheFullListAfterAMalformedChange() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"),
                     ProxyFixture.serverEntry("s2", "", "draining"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
+            assertThat(proxy.nextEvent(ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
             call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s2", "", "draining"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
             // The full list is not requested again and again if it contains a malformed entry itself.
             assertThat(proxy.discovery.accept().read().first()).contains("?from=42&");
         }
@@ -232,7 +233,7 @@
     @Test
     void hedgesACallWhoseResponseNeverEnds() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection first = proxy.discovery.accept();
             first.read();
             first.send("HTTP/1.1 200 OK\r\n\r\n{\"version\":42,\"full\":true,\"servers\":[");
@@ -241,7 +242,7 @@
             hedge.read();
             hedge.send(FakeServer.okResponse(ProxyFixture.serverList(42, false,
                     ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
             assertThat(first.awaitClose()).isTrue();
         }
     }
@@ -249,15 +250,15 @@
     @Test
     void requestsTheFullListOnce() throws Exception {
         try (var proxy = new ProxyFixture((Event event, java.util.function.Consumer<Balancer.Action> actions) -> {
-            if (event instanceof Balancer.ListUpdate members && members.kind() == ListKind.CACHED) {
+            if (event instanceof ListUpdate update && update.kind() == ListKind.CACHED) {
                 actions.accept(new Fetch());
             }
         })) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
         }
     }
 
@@ -265,7 +266,7 @@
     @Test
     void followsDiscoveryToItsNewAddress(@TempDir Path dir) throws Exception {
         try (var server = new FakeServer(); var moved = new FakeServer(); var proxy = new ProxyFixture(watcher(), server)) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection old = proxy.discovery.accept();
             old.read();
             ObjectNode config = ProxyFixture.config().put("discovery", moved.address());
@@ -274,7 +275,7 @@
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             assertThat(old.awaitClose()).isTrue();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
-            Balancer.ListUpdate list = proxy.nextEvent(Balancer.ListUpdate.class);
+            ListUpdate list = proxy.nextEvent(ListUpdate.class);
             assertThat(list.kind()).isEqualTo(ListKind.FULL);
             assertThat(list.backends()).extracting(Backend::id).containsExactly("s1");
             assertThat(moved.accept().read().first()).contains("from=3&");
@@ -284,7 +285,7 @@
     /** Returns a balancer that opens the watch and requests the full list. */
     private static ProxyFixture.BalancerStub watcherThatFetches() {
         return (event, actions) -> {
-            if (event instanceof Balancer.ListUpdate members && members.kind() == ListKind.CACHED) {
+            if (event instanceof ListUpdate update && update.kind() == ListKind.CACHED) {
                 actions.accept(new Watch(true));
                 actions.accept(new Fetch());
             }
@@ -305,32 +306,32 @@
     @Test
     void requestsAFullListAgainIfAChangeHasOvertakenIt() throws Exception {
         try (var proxy = new ProxyFixture(watcherThatFetches())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             // The balancer's actions are carried out in order.
             RawConnection watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
             RawConnection fetch = acceptCall(proxy.discovery, "GET /v1/endpoints HTTP");
             watch.send(FakeServer.okResponse(ProxyFixture.serverList(43, false,
                     ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.DELTA);
             fetch.send(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             acceptCall(proxy.discovery, "GET /v1/endpoints HTTP")
                     .send(FakeServer.okResponse(ProxyFixture.serverList(43, true,
                             ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
-            Balancer.ListUpdate next = proxy.nextEvent(Balancer.ListUpdate.class);
+            ListUpdate next = proxy.nextEvent(ListUpdate.class);
             assertThat(next.kind()).isEqualTo(ListKind.FULL);
-            assertThat(next.backends()).extracting(Backend::state).containsExactly(Balancer.BackendState.DRAINING);
+            assertThat(next.backends()).extracting(Backend::state).containsExactly(BackendState.DRAINING);
         }
     }
 
     @Test
     void dropsAChangeThatAFullListHasOvertaken() throws Exception {
         try (var proxy = new ProxyFixture(watcherThatFetches())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection watch = acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
             acceptCall(proxy.discovery, "GET /v1/endpoints HTTP")
                     .send(FakeServer.okResponse(ProxyFixture.serverList(44, true,
                             ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
             watch.send(FakeServer.okResponse(ProxyFixture.serverList(43, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=44&");
             assertThat(proxy.events).isEmpty();
@@ -340,7 +341,7 @@
     @Test
     void dropsResponsesFromTheOldAddress(@TempDir Path dir) throws Exception {
         try (var moved = new FakeServer(); var proxy = new ProxyFixture(watcherThatFetches())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             acceptCall(proxy.discovery, "GET /v1/endpoints?from=41&");
             RawConnection old = acceptCall(proxy.discovery, "GET /v1/endpoints HTTP");
             proxy.reconfigure(Files.writeString(dir.resolve("config.json"),
@@ -349,7 +350,7 @@
             old.send(FakeServer.okResponse(ProxyFixture.serverList(99, true, ProxyFixture.serverEntry("s9", "127.0.0.1:1", "ready"))));
             first.send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "ready"))));
             for (int responses = 0; responses < 2; responses++) {
-                assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
+                assertThat(proxy.nextEvent(ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s1");
                 // One of the two calls belongs to the watch, which continues; the other is for the full list that the balancer requested.
                 if (responses == 0) {
                     acceptCall(moved, "GET /v1/endpoints HTTP")
@@ -363,14 +364,14 @@
     @Test
     void requestsTheFullListIfARestartedDiscoverySendsChanges() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(3, false, ProxyFixture.serverEntry("s1", "127.0.0.1:1", "draining"))));
             call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             call.send(FakeServer.okResponse(ProxyFixture.serverList(4, true, ProxyFixture.serverEntry("s2", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s2");
+            assertThat(proxy.nextEvent(ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s2");
             assertThat(proxy.discovery.accept().read().first()).contains("?from=4&");
         }
     }
@@ -378,11 +379,11 @@
     @Test
     void takesTheFullListOfARestartedDiscovery() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(3, true, ProxyFixture.serverEntry("s2", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s2");
+            assertThat(proxy.nextEvent(ListUpdate.class).backends()).extracting(Backend::id).containsExactly("s2");
             assertThat(proxy.discovery.accept().read().first()).contains("?from=3&");
         }
     }
@@ -391,7 +392,7 @@
     @Test
     void failsACallWhoseResponseGrowsWithoutEnd() throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
             try {
@@ -402,7 +403,7 @@
             } catch (java.io.IOException e) {
                 // The proxy has closed the connection, as expected.
             }
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FAILED);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FAILED);
             assertThat(call.awaitClose()).isTrue();
             assertThat(proxy.discovery.accept().read().first()).contains("from=41&hold_ms=0");
         }
@@ -412,15 +413,15 @@
     @Test
     void reopensTheWatchItselfOnceListsArePushed(@TempDir Path dir) throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {
-            if (event instanceof Balancer.ListUpdate members && members.kind() == ListKind.CACHED) {
+            if (event instanceof ListUpdate update && update.kind() == ListKind.CACHED) {
                 actions.accept(new Watch(true));
             }
         })) {
             RawConnection call = proxy.discovery.accept();
             call.read();
             call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-            proxy.nextEvent(Balancer.ListUpdate.class);
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FAILED);
+            proxy.nextEvent(ListUpdate.class);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FAILED);
             ObjectNode config = ProxyFixture.config().put("discovery", proxy.discovery.address());
             ((ObjectNode) config.path("settings")).put("registry_mode", "pushed");
             proxy.reconfigure(Files.writeString(dir.resolve("config.json"), config.toString()));
@@ -431,13 +432,13 @@
     @Test
     void ignoresAnInvalidConfiguration(@TempDir Path dir) throws Exception {
         try (var proxy = new ProxyFixture(watcher())) {
-            proxy.nextEvent(Balancer.ListUpdate.class);
+            proxy.nextEvent(ListUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
             proxy.reconfigure(dir.resolve("none"));
             proxy.reconfigure(Files.writeString(dir.resolve("half"), "{\"name\":"));
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true)));
-            assertThat(proxy.nextEvent(Balancer.ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.nextEvent(ListUpdate.class).kind()).isEqualTo(ListKind.FULL);
         }
     }
 
--- a/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
+++ b/proxy/src/test/java/walkpost/proxy/DiscoveryOutageTest.java
@@ -1,6 +1,7 @@
 package walkpost.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import walkpost.Balancer;
 import walkpost.Balancer.ListKind;
 import walkpost.DiscoveryBackOff;
@@ -84,8 +85,8 @@
                 var connections = new ServerConnections(clock, channel.eventLoop(), EmbeddedChannel::new, new ConnectionBudget(256),
                         new BufferBudget(Long.MAX_VALUE), 1, 1);
                 var balancerDriver = new BalancerDriver(clock, channel.eventLoop(), (now, event, actions) -> {
-                    if (event instanceof Balancer.ListUpdate members) {
-                        onList(members.kind());
+                    if (event instanceof Balancer.ListUpdate update) {
+                        onList(update.kind());
                     }
                 }, connections);
                 discovery = new DiscoveryClient(channel.eventLoop(), balancerDriver, config.discovery(), config.settings(), this::send);
--- a/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
@@ -18,7 +18,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import walkpost.Balancer;
 import walkpost.Balancer.Arrival;
 import walkpost.Balancer.AttemptEnded;
 import walkpost.Balancer.Event;
@@ -242,9 +241,9 @@
             proxy.discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true,
                     ProxyFixture.serverEntry("s9", late.address(), "ready"))));
             fleet.putInForce("s9", EXCLUDED_PAYLOAD);
-            Balancer.ListUpdate list = proxy.nextEvent(Balancer.ListUpdate.class);
+            ListUpdate list = proxy.nextEvent(ListUpdate.class);
             while (list.backends().isEmpty()) {
-                list = proxy.nextEvent(Balancer.ListUpdate.class);
+                list = proxy.nextEvent(ListUpdate.class);
             }
             client.send(ProxyFixture.get("r1"));
             assertThat(proxy.nextEvent(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
