--- a/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
@@ -158,6 +158,12 @@
         }
     }
 
+    /**
+     * Handles a response with a list.
+     *
+     * @param atCallStart the version that was current when the request was sent
+     * @param tookMs the time from the start of the call to the response
+     */
     private void onListReceived(HedgedCall call, ListVersion atCallStart, JsonNode list, long tookMs) {
         initialWaitOver = true;
         retryPolicy.onValidResponse();
@@ -192,6 +198,7 @@
         }
     }
 
+    /** Starts the next call of the watch, unless the watch was closed or replaced meanwhile. */
     private void continueWatch(HedgedCall answeredCall) {
         if (watchCall == answeredCall) {
             // A call for the full list is answered at once, so it does not wait.
@@ -212,12 +219,12 @@
     /** Returns the valid entries of a list and logs the others. */
     private List<ServerConnections.ListedServer> validEntries(JsonNode list) {
         var listed = new ArrayList<ServerConnections.ListedServer>();
-        long now = balancerDriver.nowUs();
+        long nowUs = balancerDriver.nowUs();
         for (JsonNode entry : list.path("servers")) {
-            startTimes.observeStart(entry.path("started_ms").asLong(), now);
+            startTimes.observeStart(entry.path("started_ms").asLong(), nowUs);
         }
         for (JsonNode entry : list.path("servers")) {
-            ServerConnections.ListedServer parsed = parseEntry(entry, now);
+            ServerConnections.ListedServer parsed = parseEntry(entry, nowUs);
             if (parsed == null) {
                 log.warn("entry_left_out", "reason", "malformed", "entry", entry);
             } else {
@@ -228,7 +235,7 @@
     }
 
     /** Parses an entry; returns null if it is malformed. */
-    private ServerConnections.ListedServer parseEntry(JsonNode entry, long now) {
+    private ServerConnections.ListedServer parseEntry(JsonNode entry, long nowUs) {
         BackendState state = STATES.get(entry.path("state").asText());
         InetSocketAddress address = Config.parseAddress(entry.path("addr").asText());
         String id = entry.path("id").asText();
@@ -238,7 +245,7 @@
         }
         return new ServerConnections.ListedServer(new Balancer.Backend(id, state, entry.path("kind").asText(null),
                 entry.path("zone").asText(null), entry.path("cell").asInt(),
-                startTimes.onProxyClockUs(id, entry.path("started_ms").asLong(), now), weight), address);
+                startTimes.onProxyClockUs(id, entry.path("started_ms").asLong(), nowUs), weight), address);
     }
 
     /** One call to discovery with its parallel hedge calls; the first valid response ends all of them. */
@@ -249,7 +256,7 @@
         private final List<Runnable> requestEnders = new ArrayList<>(1);
         private final List<Future<?>> timers = new ArrayList<>(1);
         private int openRequests;
-        /** The number of consecutive requests that this machine could not make, and the time of the first. */
+        /** The number of requests of this call that this machine could not make, and the time of the first. */
         private int localFailures;
         private long firstLocalFailureNs;
         /** The number of failed hedge requests that were repeated. */
@@ -314,9 +321,9 @@
         }
 
         private long localRetryMs() {
-            long now = loop.ticker().nanoTime();
-            firstLocalFailureNs = localFailures == 0 ? now : firstLocalFailureNs;
-            return DiscoveryRetryPolicy.localRetryMs(localFailures++, TimeUnit.NANOSECONDS.toMillis(now - firstLocalFailureNs));
+            long nowNs = loop.ticker().nanoTime();
+            firstLocalFailureNs = localFailures == 0 ? nowNs : firstLocalFailureNs;
+            return DiscoveryRetryPolicy.localRetryMs(localFailures++, TimeUnit.NANOSECONDS.toMillis(nowNs - firstLocalFailureNs));
         }
 
         private void fail(CallFailure failure, String reason) {
@@ -327,6 +334,7 @@
             }
         }
 
+        /** Ends all requests and timers of this call; no result is delivered after that. */
         void end() {
             ended = true;
             timers.forEach(timer -> timer.cancel(false));
--- a/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
@@ -74,13 +74,13 @@
 
     @Test
     void answersAFailedOrderWithTheActionToTake() throws Exception {
-        try (var proxy = proxy(); var door = proxy.operatorConnection(); var late = proxy.operatorConnection()) {
+        try (var proxy = proxy(); var operatorConnection = proxy.operatorConnection(); var late = proxy.operatorConnection()) {
             late.send("exclude s0 fleet o9\n");
             assertThat(FakeServer.takeNext(fleet.issuedOrders).replaces()).isNull();
-            door.send("exclude s0 fleet o1 o0\n");
+            operatorConnection.send("exclude s0 fleet o1 o0\n");
             var cause = new FleetException.Overtaken("o1", "o5");
             FakeServer.takeNext(fleet.issuedOrders).outcome().completeExceptionally(cause);
-            assertThat(door.readToEnd()).isEqualTo("FAILURE " + cause.getMessage() + "\n");
+            assertThat(operatorConnection.readToEnd()).isEqualTo("FAILURE " + cause.getMessage() + "\n");
             // An order whose outcome is unknown is answered after a time-out.
             assertThat(late.readToEnd()).startsWith("FAILURE o9 ").contains("send the same order again");
         }
@@ -161,12 +161,12 @@
 
     @Test
     void reportsTheCoverageOfAnOrder() throws Exception {
-        try (var proxy = proxy(); var door = proxy.operatorConnection()) {
-            door.send("held s0 o1\n");
+        try (var proxy = proxy(); var operatorConnection = proxy.operatorConnection()) {
+            operatorConnection.send("held s0 o1\n");
             // Other calls are answered while the voters are queried.
             assertThat(proxy.callOperator("readyz\n")).isNotEmpty();
             fleet.coverage.complete(new Coverage(8, 9, List.of("n4"), List.of("v3")));
-            assertThat(json(door.readToEnd())).isEqualTo(Config.JSON.readTree("""
+            assertThat(json(operatorConnection.readToEnd())).isEqualTo(Config.JSON.readTree("""
                     {"held":8,"of":9,"lacking":["n4"],"silent":["v3"]}"""));
             assertThat(fleet.coverageQueries).containsExactly("exclusion s0 o1");
         }
