--- a/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
+++ b/proxy/src/main/java/walkpost/proxy/DiscoveryClient.java
@@ -39,7 +39,7 @@
 
     private final EventLoop loop;
     private final EventLog log = new EventLog("discovery");
-    private final BalancerDriver proxy;
+    private final BalancerDriver balancerDriver;
     private final ListRequest.Factory requestFactory;
     /** Whether an agent on this machine pushes lists; if not, they are requested from a service that all proxies share. */
     private boolean pushed;
@@ -55,15 +55,17 @@
     private final DiscoveryRetryPolicy retryPolicy = new DiscoveryRetryPolicy();
     private final ServerStartTimes startTimes = new ServerStartTimes();
 
-    DiscoveryClient(EventLoop loop, ChannelFactory<Channel> transport, BalancerDriver proxy, InetSocketAddress address, Balancer.Settings settings) {
-        this(loop, proxy, address, settings,
+    DiscoveryClient(EventLoop loop, ChannelFactory<Channel> transport, BalancerDriver balancerDriver, InetSocketAddress address,
+            Balancer.Settings settings) {
+        this(loop, balancerDriver, address, settings,
                 (server, uri, connectTimeoutMs, callback) ->
                         new ListRequest(loop, transport, server, uri, connectTimeoutMs, callback)::end);
     }
 
-    DiscoveryClient(EventLoop loop, BalancerDriver proxy, InetSocketAddress address, Balancer.Settings settings, ListRequest.Factory requestFactory) {
+    DiscoveryClient(EventLoop loop, BalancerDriver balancerDriver, InetSocketAddress address, Balancer.Settings settings,
+            ListRequest.Factory requestFactory) {
         this.loop = loop;
-        this.proxy = proxy;
+        this.balancerDriver = balancerDriver;
         this.requestFactory = requestFactory;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
@@ -92,12 +94,12 @@
     }
 
     /** Starts with the list of this proxy's previous run, null if there is none; it is the first list that the balancer gets. */
-    void start(JsonNode list) {
-        if (list != null) {
-            version = new ListVersion(version.epoch(), list.path("version").asLong(-1));
+    void start(JsonNode lastKnownList) {
+        if (lastKnownList != null) {
+            version = new ListVersion(version.epoch(), lastKnownList.path("version").asLong(-1));
         }
         loop.schedule(() -> initialWaitOver = true, INITIAL_WAIT_MS, TimeUnit.MILLISECONDS);
-        proxy.updateServerList(ListKind.CACHED, list == null ? List.of() : validEntries(list));
+        balancerDriver.updateServerList(ListKind.CACHED, lastKnownList == null ? List.of() : validEntries(lastKnownList));
         if (pushed) {
             setWatching(true);
         }
@@ -110,7 +112,7 @@
             watchCall.end();
             watchCall = null;
         } else if (on && watchCall == null) {
-            // The first call does not wait for news, so that changes missed so far, or the fact that there are none, arrive at once.
+            // The first call does not wait for changes, so that changes missed so far, or the fact that there are none, arrive at once.
             watchCall = new HedgedCall(true, 0);
         }
     }
@@ -156,6 +158,12 @@
         }
     }
 
+    /**
+     * Handles a response with a list.
+     *
+     * @param atCallStart the version that was current when the request was sent
+     * @param tookMs the time from the start of the call to the response
+     */
     private void onListReceived(HedgedCall call, ListVersion atCallStart, JsonNode list, long tookMs) {
         initialWaitOver = true;
         retryPolicy.onValidResponse();
@@ -185,11 +193,12 @@
             loop.schedule(() -> continueWatch(call), NO_CHANGE_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
         if (verdict == Verdict.TAKE || verdict == Verdict.TAKE_ANEW) {
-            startTimes.listApplied(proxy.nowUs());
-            proxy.updateServerList(full ? ListKind.FULL : ListKind.DELTA, entries);
+            startTimes.listApplied(balancerDriver.nowUs());
+            balancerDriver.updateServerList(full ? ListKind.FULL : ListKind.DELTA, entries);
         }
     }
 
+    /** Starts the next call of the watch, unless the watch was closed or replaced meanwhile. */
     private void continueWatch(HedgedCall answeredCall) {
         if (watchCall == answeredCall) {
             // A call for the full list is answered at once, so it does not wait.
@@ -203,19 +212,19 @@
         if (pushed) {
             loop.schedule(() -> setWatching(watchWanted), timing.agentRetryMs(), TimeUnit.MILLISECONDS);
         } else {
-            proxy.updateServerList(ListKind.FAILED, List.of());
+            balancerDriver.updateServerList(ListKind.FAILED, List.of());
         }
     }
 
     /** Returns the valid entries of a list and logs the others. */
     private List<ServerConnections.ListedServer> validEntries(JsonNode list) {
         var listed = new ArrayList<ServerConnections.ListedServer>();
-        long now = proxy.nowUs();
+        long nowUs = balancerDriver.nowUs();
         for (JsonNode entry : list.path("servers")) {
-            startTimes.observeStart(entry.path("started_ms").asLong(), now);
+            startTimes.observeStart(entry.path("started_ms").asLong(), nowUs);
         }
         for (JsonNode entry : list.path("servers")) {
-            ServerConnections.ListedServer parsed = parseEntry(entry, now);
+            ServerConnections.ListedServer parsed = parseEntry(entry, nowUs);
             if (parsed == null) {
                 log.warn("entry_left_out", "reason", "malformed", "entry", entry);
             } else {
@@ -226,7 +235,7 @@
     }
 
     /** Parses an entry; returns null if it is malformed. */
-    private ServerConnections.ListedServer parseEntry(JsonNode entry, long now) {
+    private ServerConnections.ListedServer parseEntry(JsonNode entry, long nowUs) {
         BackendState state = STATES.get(entry.path("state").asText());
         InetSocketAddress address = Config.parseAddress(entry.path("addr").asText());
         String id = entry.path("id").asText();
@@ -236,7 +245,7 @@
         }
         return new ServerConnections.ListedServer(new Balancer.Backend(id, state, entry.path("kind").asText(null),
                 entry.path("zone").asText(null), entry.path("cell").asInt(),
-                startTimes.onProxyClockUs(id, entry.path("started_ms").asLong(), now), weight), address);
+                startTimes.onProxyClockUs(id, entry.path("started_ms").asLong(), nowUs), weight), address);
     }
 
     /** One call to discovery with its parallel hedge calls; the first valid response ends all of them. */
@@ -247,7 +256,7 @@
         private final List<Runnable> requestEnders = new ArrayList<>(1);
         private final List<Future<?>> timers = new ArrayList<>(1);
         private int openRequests;
-        /** The number of consecutive requests that this machine could not make, and the time of the first. */
+        /** The number of requests of this call that this machine could not make, and the time of the first. */
         private int localFailures;
         private long firstLocalFailureNs;
         /** The number of failed hedge requests that were repeated. */
@@ -312,9 +321,9 @@
         }
 
         private long localRetryMs() {
-            long now = loop.ticker().nanoTime();
-            firstLocalFailureNs = localFailures == 0 ? now : firstLocalFailureNs;
-            return DiscoveryRetryPolicy.localRetryMs(localFailures++, TimeUnit.NANOSECONDS.toMillis(now - firstLocalFailureNs));
+            long nowNs = loop.ticker().nanoTime();
+            firstLocalFailureNs = localFailures == 0 ? nowNs : firstLocalFailureNs;
+            return DiscoveryRetryPolicy.localRetryMs(localFailures++, TimeUnit.NANOSECONDS.toMillis(nowNs - firstLocalFailureNs));
         }
 
         private void fail(CallFailure failure, String reason) {
@@ -325,6 +334,7 @@
             }
         }
 
+        /** Ends all requests and timers of this call; no result is delivered after that. */
         void end() {
             ended = true;
             timers.forEach(timer -> timer.cancel(false));
