--- a/proxy/src/main/java/walkpost/proxy/BalancerDriver.java
+++ b/proxy/src/main/java/walkpost/proxy/BalancerDriver.java
@@ -56,8 +56,8 @@
 
     /** A request and its attempts, kept until the request is finished and none of its attempts is in flight. */
     private static final class Request {
-        private final BalancerDriver.IncomingRequest incoming;
-        private final BalancerDriver.Responder reply;
+        private final IncomingRequest incoming;
+        private final Responder responder;
         /** The attempts by number; null where an attempt was never sent. */
         private final List<ServerConnections.Attempt> attempts = new ArrayList<>(2);
         /** The time that the request had left when it came in. */
@@ -71,9 +71,9 @@
         private boolean finished;
         private Future<?> safetyTimer;
 
-        Request(BalancerDriver.IncomingRequest incoming, BalancerDriver.Responder reply, long nowUs) {
+        Request(IncomingRequest incoming, Responder responder, long nowUs) {
             this.incoming = incoming;
-            this.reply = reply;
+            this.responder = responder;
             this.deadlineUs = incoming.deadlineUs();
             this.patienceUs = deadlineUs - nowUs;
             this.fullyReceived = incoming.fullyReceived();
@@ -96,21 +96,21 @@
     private final ProxyClock clock;
     private final EventLoop loop;
     private final EventLog log = new EventLog("proxy");
-    private final EventLoopLagMonitor beat;
+    private final EventLoopLagMonitor lagMonitor;
     private final Balancer balancer;
-    private final ServerConnections backends;
+    private final ServerConnections serverConnections;
     private final Map<String, Request> requests = new HashMap<>();
     private final Queue<Event> events = new ArrayDeque<>();
     private final List<Action> actions = new ArrayList<>();
     private DiscoveryClient discovery;
     private boolean delivering;
 
-    BalancerDriver(ProxyClock clock, EventLoop loop, Balancer balancer, ServerConnections backends) {
+    BalancerDriver(ProxyClock clock, EventLoop loop, Balancer balancer, ServerConnections serverConnections) {
         this.clock = clock;
         this.loop = loop;
-        this.beat = new EventLoopLagMonitor(clock, loop);
+        this.lagMonitor = new EventLoopLagMonitor(clock, loop);
         this.balancer = balancer;
-        this.backends = backends;
+        this.serverConnections = serverConnections;
     }
 
     /** Sets the discovery client that carries out {@link Balancer.Watch} and {@link Balancer.Fetch}. */
@@ -120,7 +120,7 @@
 
     /** Returns the monitor of delays of the event loop. The caller that opens the listener starts it. */
     EventLoopLagMonitor loopMonitor() {
-        return beat;
+        return lagMonitor;
     }
 
     /** Returns the time on the proxy's clock, in microseconds. */
@@ -141,13 +141,13 @@
     // Events
 
     /** Takes a client's request in. Fails it at once if its deadline has passed. */
-    void requestArrived(BalancerDriver.IncomingRequest incoming, BalancerDriver.Responder reply) {
+    void requestArrived(IncomingRequest incoming, Responder responder) {
         long nowUs = clock.nowUs();
         if (nowUs >= incoming.deadlineUs()) {
-            reply.fail();
+            responder.fail();
             return;
         }
-        var request = new Request(incoming, reply, nowUs);
+        var request = new Request(incoming, responder, nowUs);
         requests.put(incoming.id(), request);
         if (request.fullyReceived) {
             startSafetyTimer(request);
@@ -184,7 +184,7 @@
     /** Fails a request that the balancer has not answered, so that every client gets an answer in time. */
     private void failOverdue(Request request) {
         if (!request.finished) {
-            answer(request, BalancerDriver.Responder::fail);
+            answer(request, Responder::fail);
             deliver(new Balancer.ClientGone(request.incoming.id()));
             removeIfDone(request);
         }
@@ -192,7 +192,7 @@
 
     /** Applies an update of the server list; {@link Balancer.ListKind#FAILED} reports a call to discovery that brought none. */
     void updateServerList(Balancer.ListKind kind, List<ServerConnections.ListedServer> listed) {
-        List<ServerConnections.Attempt> unsent = kind == Balancer.ListKind.FAILED ? List.of() : backends.applyList(kind, listed);
+        List<ServerConnections.Attempt> unsent = kind == Balancer.ListKind.FAILED ? List.of() : serverConnections.applyList(kind, listed);
         deliver(new Balancer.ListUpdate(kind, listed.stream().map(ServerConnections.ListedServer::backend).toList()));
         // The balancer knows the new list by now, so it retries these attempts on other servers.
         unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
@@ -205,19 +205,19 @@
 
     /** Returns whether a server of this id is listed or excluded, so that operators may name it. */
     boolean isKnownServer(String id) {
-        return backends.isKnown(id);
+        return serverConnections.isKnown(id);
     }
 
     /** Takes a server out of use, on an operator's order. */
     void excludeServer(String serverId) {
-        List<ServerConnections.Attempt> unsent = backends.exclude(serverId);
+        List<ServerConnections.Attempt> unsent = serverConnections.exclude(serverId);
         deliver(new Balancer.Excluded(serverId));
         unsent.forEach(attempt -> attempt.abort(Outcome.NOT_SENT));
     }
 
     /** Puts an excluded server back into use, on an operator's order. */
     void includeServer(String serverId) {
-        backends.include(serverId);
+        serverConnections.include(serverId);
         deliver(new Balancer.Included(serverId));
     }
 
@@ -250,7 +250,7 @@
             } else {
                 // The balancer is informed first, so that it no longer counts on this request when the answer causes further events.
                 deliver(new Balancer.ResponseStreamStarted(request.incoming.id(), number));
-                answer(request, reply -> reply.respondStreaming(stream));
+                answer(request, responder -> responder.respondStreaming(stream));
             }
         }
 
@@ -258,7 +258,7 @@
         public void onEnded(Outcome outcome, long latencyUs, ServerConnections.BufferedResponse answer) {
             request.attemptsInFlight--;
             if (answer != null && !request.finished) {
-                answer(request, reply -> reply.respond(answer));
+                answer(request, responder -> responder.respond(answer));
             } else if (answer != null) {
                 answer.body().release();
             }
@@ -268,13 +268,13 @@
     }
 
     /** Gives the request its one answer. An answer that can't be written becomes a failure, because the request has been accepted. */
-    private void answer(Request request, Consumer<BalancerDriver.Responder> answer) {
+    private void answer(Request request, Consumer<Responder> answer) {
         finish(request);
         try {
-            answer.accept(request.reply);
+            answer.accept(request.responder);
         } catch (RuntimeException e) {
             log.error("answer_failed", e, "request", request.incoming.id());
-            request.reply.fail();
+            request.responder.fail();
         }
     }
 
@@ -329,7 +329,7 @@
         String id = event instanceof Balancer.Arrival arrival ? arrival.id()
                 : event instanceof Balancer.AttemptEnded end ? end.id() : null;
         if (id != null) {
-            answerIfOpen(id, BalancerDriver.Responder::fail);
+            answerIfOpen(id, Responder::fail);
         }
     }
 
@@ -342,9 +342,9 @@
             loop.schedule(() -> deliver(new Balancer.TimerFired(timer.token())), Math.max(0, timer.atUs() - clock.nowUs()),
                     TimeUnit.MICROSECONDS);
         } else if (action instanceof Balancer.Refuse refuse) {
-            answerIfOpen(refuse.id(), reply -> reply.refuse(refuse.retryAfterUs()));
+            answerIfOpen(refuse.id(), responder -> responder.refuse(refuse.retryAfterUs()));
         } else if (action instanceof Balancer.Fail fail) {
-            answerIfOpen(fail.id(), BalancerDriver.Responder::fail);
+            answerIfOpen(fail.id(), Responder::fail);
         } else if (action instanceof Balancer.Cancel cancel) {
             Request request = requests.get(cancel.id());
             ServerConnections.Attempt attempt = request == null || cancel.attempt() >= request.attempts.size() ? null
@@ -353,7 +353,7 @@
                 attempt.abort(Outcome.CANCELLED);
             }
         } else if (action instanceof Balancer.Release release) {
-            backends.closeIdle(release.backend());
+            serverConnections.closeIdle(release.backend());
         } else if (action instanceof Balancer.Watch watch) {
             discovery.setWatching(watch.on());
         } else if (action instanceof Balancer.Fetch) {
@@ -366,7 +366,7 @@
         }
     }
 
-    private void answerIfOpen(String id, Consumer<BalancerDriver.Responder> answer) {
+    private void answerIfOpen(String id, Consumer<Responder> answer) {
         Request request = requests.get(id);
         if (request != null && !request.finished) {
             answer(request, answer);
@@ -386,23 +386,23 @@
         int number = request.attempts.size();
         request.attempts.add(null);
         request.attemptsPending++;
-        if (beat.isLagging()) {
-            beat.runAfterIoPoll(() -> beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT - 1));
+        if (lagMonitor.isLagging()) {
+            lagMonitor.runAfterIoPoll(() -> beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT - 1));
         } else {
             beginOncePolled(request, number, send, MAX_POLLS_BEFORE_ATTEMPT);
         }
     }
 
     private void beginOncePolled(Request request, int number, Balancer.Send send, int pollsLeft) {
-        if (!request.finished && pollsLeft > 0 && request.reply.mayHaveUnreadClose()) {
-            beat.runAfterIoPoll(() -> beginOncePolled(request, number, send, pollsLeft - 1));
+        if (!request.finished && pollsLeft > 0 && request.responder.mayHaveUnreadClose()) {
+            lagMonitor.runAfterIoPoll(() -> beginOncePolled(request, number, send, pollsLeft - 1));
         } else {
             begin(request, number, send);
         }
     }
 
     private void begin(Request request, int number, Balancer.Send send) {
-        if (!request.finished && !request.reply.isClientConnected()) {
+        if (!request.finished && !request.responder.isClientConnected()) {
             clientDisconnected(send.id());
         }
         request.attemptsPending--;
@@ -423,7 +423,7 @@
         long timeoutUs = send.timeoutUs() == 0 ? leftUs : Math.min(send.timeoutUs(), leftUs);
         Balancer.Limits limits = request.incoming.limits();
         return number >= limits.maxAttempts() || timeoutUs <= 0 || request.attemptsInFlight > 0 && !limits.secondCopies() ? null
-                : backends.newAttempt(send.backend(), request.incoming.outgoing(), timeoutUs, send.sendByUs(),
+                : serverConnections.newAttempt(send.backend(), request.incoming.outgoing(), timeoutUs, send.sendByUs(),
                         new AttemptTracker(request, number, send.backend()));
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
@@ -32,7 +32,7 @@
     private final ProxyClock clock;
     private final EventLoop loop;
     private final Frontend frontend;
-    private final EventLoopLagMonitor beat;
+    private final EventLoopLagMonitor lagMonitor;
     private final boolean sharedListener;
     private final String proxyName;
     private final CountDownLatch clientsGone = new CountDownLatch(1);
@@ -44,11 +44,12 @@
      * @param sharedListener whether clients come in over a listening socket that the next process holds as well
      * @param proxyName the name of the proxy in the log
      */
-    GracefulShutdown(ProxyClock clock, EventLoop loop, Frontend frontend, EventLoopLagMonitor beat, boolean sharedListener, String proxyName) {
+    GracefulShutdown(ProxyClock clock, EventLoop loop, Frontend frontend, EventLoopLagMonitor lagMonitor, boolean sharedListener,
+            String proxyName) {
         this.clock = clock;
         this.loop = loop;
         this.frontend = frontend;
-        this.beat = beat;
+        this.lagMonitor = lagMonitor;
         this.sharedListener = sharedListener;
         this.proxyName = proxyName;
     }
@@ -115,7 +116,7 @@
         }
         // Connections close only after a further poll of the sockets, because a listener that is closed in the same turn of the loop
         // accepts its waiting clients until then.
-        scheduleBeforeEnd(endAtUs, Math.min(CLOSE_CONNECTIONS_MS, endMs - FRONT_LAG_MS), () -> beat.runAfterIoPoll(() -> {
+        scheduleBeforeEnd(endAtUs, Math.min(CLOSE_CONNECTIONS_MS, endMs - FRONT_LAG_MS), () -> lagMonitor.runAfterIoPoll(() -> {
             frontend.closeAfterResponses();
             frontend.closeIdleConnections();
         }));
--- a/proxy/src/main/java/walkpost/proxy/ProcessEnvironment.java
+++ b/proxy/src/main/java/walkpost/proxy/ProcessEnvironment.java
@@ -14,9 +14,10 @@
  * @param operatorAddress the address of the operator endpoint; null if there is none
  * @param tempDir the directory that the process may write to; its files outlive an upgrade
  * @param inheritedListener the listening socket for clients that other processes hold as well; null if the proxy opens its own
- * @param fleet opens the membership in the fleet; null if the proxy is in no fleet, and then no class of the fleet is loaded
+ * @param fleetOpener opens the membership in the fleet; null if the proxy is in no fleet, and then no class of the fleet is loaded
  */
-record ProcessEnvironment(InetSocketAddress operatorAddress, Path tempDir, ServerSocketChannel inheritedListener, ProxyFleetMember.Opener fleet) {
+record ProcessEnvironment(InetSocketAddress operatorAddress, Path tempDir, ServerSocketChannel inheritedListener,
+        ProxyFleetMember.Opener fleetOpener) {
     /** The environment variable with the path of the fleet's configuration file. If it is unset, the proxy is in no fleet. */
     static final String FLEET = "WALKPOST_FLEET";
 
@@ -58,6 +59,7 @@
         } catch (IOException e) {
             throw new Config.InvalidConfigException("PROXY_LISTEN_FD: can't take over descriptor 0: " + e);
         }
-        throw new Config.InvalidConfigException("PROXY_LISTEN_FD: got '" + descriptor + "'; expected 0, with a listening socket as descriptor 0");
+        throw new Config.InvalidConfigException("PROXY_LISTEN_FD: got '" + descriptor
+                + "'; expected 0, with a listening socket as descriptor 0");
     }
 }
--- a/proxy/src/main/java/walkpost/proxy/Serve.java
+++ b/proxy/src/main/java/walkpost/proxy/Serve.java
@@ -33,11 +33,11 @@
     private final SystemCallFailureCounter failures = new SystemCallFailureCounter();
     private final FaultTolerantIoHandlerFactory ioHandlers = new FaultTolerantIoHandlerFactory(NioIoHandler.newFactory(), failures);
     private final EventLoop loop;
-    private final BalancerDriver proxy;
+    private final BalancerDriver balancerDriver;
     private final DiscoveryClient discovery;
     private final Frontend frontend;
-    private final ServerConnections backends;
-    private final ExcludedServers takenOut;
+    private final ServerConnections serverConnections;
+    private final ExcludedServers excludedServers;
     private final ExclusionStore exclusions;
     private final GracefulShutdown shutdown;
     /** The proxy's membership in the fleet; null if it is in no fleet. */
@@ -61,18 +61,18 @@
         loop = newLoop(ioHandlers);
         var settings = config.settings();
         // MOST_DESCRIPTORS is a compile-time constant, so reading it loads no class of the fleet.
-        int descriptors = config.sockets() - (environment.fleet() == null ? 0 : ProxyFleetMember.MOST_DESCRIPTORS);
-        var connections = sharesListener() ? ConnectionBudget.forSharedLimit(descriptors) : new ConnectionBudget(descriptors);
-        var buffers = new BufferBudget(config.memory() / (sharesListener() ? 2 * BUFFER_MEMORY_DIVISOR : BUFFER_MEMORY_DIVISOR));
-        backends = new ServerConnections(clock, loop, () -> new RetryingSocketChannel(failures), connections, buffers, config.connIdleUs(),
-                config.connectTimeoutUs());
-        proxy = new BalancerDriver(clock, loop, balancer, backends);
-        discovery = new DiscoveryClient(loop, () -> new RetryingSocketChannel(failures), proxy, config.discovery(), settings);
-        proxy.setDiscovery(discovery);
-        frontend = new Frontend(proxy, connections, buffers, settings, this::canServe);
-        shutdown = new GracefulShutdown(clock, loop, frontend, proxy.loopMonitor(), sharesListener(), config.name());
-        takenOut = new ExcludedServers(proxy);
-        exclusions = new ExclusionStore(loop, takenOut, environment.tempDir().resolve(EXCLUDED), "operators");
+        int descriptors = config.sockets() - (environment.fleetOpener() == null ? 0 : ProxyFleetMember.MOST_DESCRIPTORS);
+        var connectionBudget = sharesListener() ? ConnectionBudget.forSharedLimit(descriptors) : new ConnectionBudget(descriptors);
+        var bufferBudget = new BufferBudget(config.memory() / (sharesListener() ? 2 * BUFFER_MEMORY_DIVISOR : BUFFER_MEMORY_DIVISOR));
+        serverConnections = new ServerConnections(clock, loop, () -> new RetryingSocketChannel(failures), connectionBudget, bufferBudget,
+                config.connIdleUs(), config.connectTimeoutUs());
+        balancerDriver = new BalancerDriver(clock, loop, balancer, serverConnections);
+        discovery = new DiscoveryClient(loop, () -> new RetryingSocketChannel(failures), balancerDriver, config.discovery(), settings);
+        balancerDriver.setDiscovery(discovery);
+        frontend = new Frontend(balancerDriver, connectionBudget, bufferBudget, settings, this::canServe);
+        shutdown = new GracefulShutdown(clock, loop, frontend, balancerDriver.loopMonitor(), sharesListener(), config.name());
+        excludedServers = new ExcludedServers(balancerDriver);
+        exclusions = new ExclusionStore(loop, excludedServers, environment.tempDir().resolve(EXCLUDED), "operators");
     }
 
     private static EventLoop newLoop(FaultTolerantIoHandlerFactory ioHandlers) {
@@ -156,9 +156,9 @@
      */
     InetSocketAddress start() throws Config.InvalidConfigException {
         loop.execute(() -> discovery.start(config.known()));
-        if (environment.fleet() != null) {
-            var fleetExclusions = new ExclusionStore(loop, takenOut, environment.tempDir().resolve(EXCLUDED_BY_FLEET), "fleet");
-            fleet = ProxyFleetMember.join(environment.fleet(), sharesListener(), loop, clock, fleetExclusions, this::condition);
+        if (environment.fleetOpener() != null) {
+            var fleetExclusions = new ExclusionStore(loop, excludedServers, environment.tempDir().resolve(EXCLUDED_BY_FLEET), "fleet");
+            fleet = ProxyFleetMember.join(environment.fleetOpener(), sharesListener(), loop, clock, fleetExclusions, this::status);
         }
         if (environment.operatorAddress() == null) {
             return null;
@@ -168,9 +168,10 @@
         return bind("operator", () -> endpoint.listen(loop, environment.operatorAddress(), failures));
     }
 
-    private FleetAccess.ProxyStatus condition() {
+    private FleetAccess.ProxyStatus status() {
         String version = Serve.class.getPackage().getImplementationVersion();
-        return new FleetAccess.ProxyStatus(frontend.isReady(), proxy.openRequests(), backends.availableCount(), version == null ? "unknown" : version);
+        return new FleetAccess.ProxyStatus(frontend.isReady(), balancerDriver.openRequests(), serverConnections.availableCount(),
+                version == null ? "unknown" : version);
     }
 
     /** Returns whether two processes serve at once during an upgrade, over one listening socket and within the limits of one process. */
@@ -195,7 +196,8 @@
         }
         // If the process was told to end before it could listen, it accepts no client.
         InetSocketAddress address = bind("listen",
-                () -> frontend.isStopped() ? null : frontend.listen(loop, () -> new DrainingServerSocketChannel(failures), config.listen()));
+                () -> frontend.isStopped() ? null
+                        : frontend.listen(loop, () -> new DrainingServerSocketChannel(failures), config.listen()));
         if (address == null) {
             return null;
         }
@@ -218,7 +220,7 @@
     }
 
     private boolean canServe() {
-        return discovery.isInitialWaitOver() && backends.availableCount() > 0;
+        return discovery.isInitialWaitOver() && serverConnections.availableCount() > 0;
     }
 
     private InetSocketAddress bind(String field, Callable<ChannelFuture> listen) throws Config.InvalidConfigException {
@@ -261,9 +263,9 @@
             Config next = config.checkedReplacement(read);
             config = next;
             frontend.applySettings(next.settings());
-            backends.setTimeouts(next.connIdleUs(), next.connectTimeoutUs());
+            serverConnections.setTimeouts(next.connIdleUs(), next.connectTimeoutUs());
             discovery.applySettings(next.settings());
-            proxy.settingsChanged(next.settings());
+            balancerDriver.settingsChanged(next.settings());
             discovery.changeAddress(next.discovery());
             log.info("configuration_taken_over", "proxy", next.name(), "discovery", next.discovery(), "classes",
                     next.settings().classes().stream().map(Balancer.RequestClass::name).toList());
--- a/proxy/src/main/java/walkpost/proxy/Warmup.java
+++ b/proxy/src/main/java/walkpost/proxy/Warmup.java
@@ -163,14 +163,15 @@
                     settings.zone(), 0, 0, 1), address));
         }
         var clock = new ProxyClock();
-        var connections = new ConnectionBudget(DESCRIPTOR_LIMIT);
-        var buffers = new BufferBudget(Long.MAX_VALUE);
+        var connectionBudget = new ConnectionBudget(DESCRIPTOR_LIMIT);
+        var bufferBudget = new BufferBudget(Long.MAX_VALUE);
         var settingsWithoutDiscovery = settingsWithoutDiscovery();
-        var backends = new ServerConnections(clock, loop, NioDomainSocketChannel::new, connections, buffers,
+        var serverConnections = new ServerConnections(clock, loop, NioDomainSocketChannel::new, connectionBudget, bufferBudget,
                 TimeUnit.MILLISECONDS.toMicros(TIMEOUT_MS), TimeUnit.MILLISECONDS.toMicros(TIMEOUT_MS));
-        var proxy = new BalancerDriver(clock, loop, new Policy(settingsWithoutDiscovery), backends);
-        var frontend = new Frontend(proxy, connections, buffers, settingsWithoutDiscovery, () -> backends.availableCount() > 0);
-        loop.submit(() -> proxy.updateServerList(Balancer.ListKind.FULL, listed)).syncUninterruptibly();
+        var balancerDriver = new BalancerDriver(clock, loop, new Policy(settingsWithoutDiscovery), serverConnections);
+        var frontend = new Frontend(balancerDriver, connectionBudget, bufferBudget, settingsWithoutDiscovery,
+                () -> serverConnections.availableCount() > 0);
+        loop.submit(() -> balancerDriver.updateServerList(Balancer.ListKind.FULL, listed)).syncUninterruptibly();
         frontend.listen(loop, NioServerDomainSocketChannel::new, proxyAddress).syncUninterruptibly();
         for (int i = 0; i < clients; i++) {
             connect();
--- a/proxy/src/test/java/walkpost/proxy/BalancerDriverTest.java
+++ b/proxy/src/test/java/walkpost/proxy/BalancerDriverTest.java
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Disconnects the client while the balancer handles one event, which takes longer than the loop may be delayed. The balancer then orders
-     * an attempt, which must not begin.
+     * Disconnects the client while the balancer handles one event, which takes longer than the loop may be delayed. The balancer then
+     * orders an attempt, which must not begin.
      *
      * @param isMoment selects that event
      * @param attempts the number of attempts that begin before that event
--- a/proxy/src/test/java/walkpost/proxy/ProxyFixture.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFixture.java
@@ -50,11 +50,11 @@
         void handle(Event event, Consumer<Action> actions);
     }
 
-    ProxyFixture(ProxyFixture.BalancerStub balancer, FakeServer... servers) throws Exception {
+    ProxyFixture(BalancerStub balancer, FakeServer... servers) throws Exception {
         this(balancer, 1_024, 15_000_000, servers);
     }
 
-    ProxyFixture(ProxyFixture.BalancerStub balancer, int socketLimit, long idleUs, FakeServer... servers) throws Exception {
+    ProxyFixture(BalancerStub balancer, int socketLimit, long idleUs, FakeServer... servers) throws Exception {
         this(settings -> (now, event, actions) -> balancer.handle(event, actions), socketLimit, idleUs, servers);
     }
 
@@ -74,21 +74,22 @@
      * @param balancer the balancer of the test; null for the one in production
      * @param tempDir the directory that the proxy may write to
      */
-    static ProxyFixture withOperatorEndpoint(ProxyFixture.BalancerStub balancer, Path tempDir, FakeServer... servers) throws Exception {
+    static ProxyFixture withOperatorEndpoint(BalancerStub balancer, Path tempDir, FakeServer... servers) throws Exception {
         return withInheritedListener(null, balancer, tempDir, servers);
     }
 
-    /** Starts a proxy as {@link #withOperatorEndpoint} does, with a listening socket for clients that is not its own, unless that is null. */
-    static ProxyFixture withInheritedListener(ServerSocketChannel listener, ProxyFixture.BalancerStub balancer, Path tempDir, FakeServer... servers) throws Exception {
+    /** Starts a proxy as {@link #withOperatorEndpoint} does, on an inherited listening socket unless {@code listener} is null. */
+    static ProxyFixture withInheritedListener(ServerSocketChannel listener, BalancerStub balancer, Path tempDir, FakeServer... servers)
+            throws Exception {
         return inFleet(null, listener, balancer, tempDir, servers);
     }
 
     /** Starts a proxy as {@link #withInheritedListener} does, as a member of a fleet unless {@code fleet} is null. */
-    static ProxyFixture inFleet(ProxyFleetMember.Opener fleet, ServerSocketChannel listener, ProxyFixture.BalancerStub balancer, Path tempDir, FakeServer... servers)
-            throws Exception {
+    static ProxyFixture inFleet(ProxyFleetMember.Opener fleet, ServerSocketChannel listener, BalancerStub balancer, Path tempDir,
+            FakeServer... servers) throws Exception {
         return new ProxyFixture(balancer == null ? Policy::new : settings -> (now, event, actions) -> balancer.handle(event, actions),
-                1_024, 15_000_000, new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), tempDir, listener, fleet),
-                servers);
+                1_024, 15_000_000,
+                new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), tempDir, listener, fleet), servers);
     }
 
     private ProxyFixture(Function<Balancer.Settings, Balancer> factory, int socketLimit, long idleUs, ProcessEnvironment environment,
@@ -125,12 +126,12 @@
     }
 
     /** Returns a balancer that sends every request to one server, and fails the request if its attempt ends without an answer. */
-    static ProxyFixture.BalancerStub sendTo(String serverId) {
+    static BalancerStub sendTo(String serverId) {
         return sendTo(serverId, 0);
     }
 
     /** Returns the same with a timeout for each attempt; 0 for none. */
-    static ProxyFixture.BalancerStub sendTo(String serverId, long timeoutUs) {
+    static BalancerStub sendTo(String serverId, long timeoutUs) {
         return (event, actions) -> {
             if (event instanceof Balancer.Arrival arrival) {
                 actions.accept(new Balancer.Send(arrival.id(), serverId, timeoutUs));
--- a/proxy/src/test/java/walkpost/proxy/ReconfigurationTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ReconfigurationTest.java
@@ -54,7 +54,8 @@
             classes(config).add(Config.JSON.readTree(READ.replace("read", "browse")));
             classes(config).add(Config.JSON.readTree(READ.replace("read", "pay")));
             reconfigure(proxy, config.toString());
-            assertThat(proxy.nextEvent(Balancer.SettingsChanged.class).settings().classes()).extracting("name").containsExactly("browse", "pay");
+            assertThat(proxy.nextEvent(Balancer.SettingsChanged.class).settings().classes()).extracting("name")
+                    .containsExactly("browse", "pay");
             assertThat(status(proxy, added)).isEqualTo(200);
             assertThat(status(proxy, ProxyFixture.get("r2"))).isEqualTo(400);
             assertThat(status(proxy, ProxyFixture.post("r3", "x"))).isEqualTo(405);
--- a/proxy/src/test/java/walkpost/proxy/ServeProcess.java
+++ b/proxy/src/test/java/walkpost/proxy/ServeProcess.java
@@ -20,17 +20,17 @@
 
     private final Path configFile;
     private final Process process;
-    private final ServeProcess.ProcessOutput log;
+    private final ProcessOutput output;
 
     /** The output of a process, which is read only as a test waits for lines. */
-    record ProcessOutput(BufferedReader lines) {
+    record ProcessOutput(BufferedReader reader) {
         ProcessOutput(Process process) {
             this(process.inputReader());
         }
 
         /** Waits for a line in which a pattern is found and returns it; returns null if the process has ended without such a line. */
-        String line(String pattern) {
-            return lines.lines().filter(Pattern.compile(pattern).asPredicate()).findFirst().orElse(null);
+        String waitForLine(String pattern) {
+            return reader.lines().filter(Pattern.compile(pattern).asPredicate()).findFirst().orElse(null);
         }
     }
 
@@ -50,7 +50,7 @@
         command.environment().put("PROXY_CONFIG", configFile.toString());
         command.environment().put("TMPDIR", dir.toString());
         process = command.start();
-        log = new ServeProcess.ProcessOutput(process);
+        output = new ProcessOutput(process);
     }
 
     /** Writes the configuration file. */
@@ -60,7 +60,7 @@
 
     /** Waits for a line of the log in which a pattern is found. */
     String waitForLine(String pattern) {
-        return log.line(pattern);
+        return output.waitForLine(pattern);
     }
 
     /** Sends a signal, by its name without SIG. */
@@ -72,7 +72,7 @@
     List<String> linesUpTo(String pattern) {
         var lines = new ArrayList<String>();
         var isLast = Pattern.compile(pattern).asPredicate();
-        log.lines().lines().peek(lines::add).anyMatch(isLast);
+        output.reader().lines().peek(lines::add).anyMatch(isLast);
         return lines;
     }
 
--- a/proxy/src/test/java/walkpost/proxy/ServeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServeTest.java
@@ -46,7 +46,8 @@
             }
             ProxyFixture.sendTo("s0").handle(event, actions);
         }, server); var busy = proxy.client(); var idle = proxy.client(); var used = proxy.client()) {
-            proxy.discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", server.address(), "ready"))));
+            String serverEntry = ProxyFixture.serverEntry("s0", server.address(), "ready");
+            proxy.discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, serverEntry)));
             proxy.nextEvent(Balancer.ListUpdate.class);
             proxy.nextEvent(Balancer.ListUpdate.class);
             assertThat(used.send("GET /ready HTTP/1.1\r\n\r\n").read().status()).isEqualTo(200);
--- a/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
@@ -156,7 +156,8 @@
     void answersAPartlyReadRequestBeforeItsConnectionEnds() throws Exception {
         try (var fixtureServer = new FakeServer();
                 var socket = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                var proxy = ProxyFixture.withInheritedListener(socket, ProxyFixture.sendTo("s0"), tempDir, fixtureServer); var client = proxy.client()) {
+                var proxy = ProxyFixture.withInheritedListener(socket, ProxyFixture.sendTo("s0"), tempDir, fixtureServer);
+                var client = proxy.client()) {
             String second = ProxyFixture.get("r2");
             client.send(ProxyFixture.get("r1") + second.substring(0, 10));
             RawConnection attempt = fixtureServer.accept();
--- a/proxy/src/test/java/walkpost/proxy/SocketActivator.java
+++ b/proxy/src/test/java/walkpost/proxy/SocketActivator.java
@@ -51,7 +51,7 @@
         process = command.start();
         output = new ServeProcess.ProcessOutput(process);
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                Integer.parseInt(output.line("^port ").substring("port ".length())));
+                Integer.parseInt(output.waitForLine("^port ").substring("port ".length())));
     }
 
     /** Starts one more proxy. */
@@ -71,7 +71,7 @@
 
     /** Waits for a log line of any proxy in which a pattern is found. */
     String waitForLine(String pattern) {
-        return output.line(pattern);
+        return output.waitForLine(pattern);
     }
 
     /** Connects to the socket as a client. */
--- a/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
@@ -91,7 +91,8 @@
         var admitted = new CountDownLatch(InheritedListener.AHEAD);
         var ended = new CountDownLatch(1);
         try (var socket = openListener()) {
-            var listener = new InheritedListener(socket, loop, new SystemCallFailureCounter(), client -> admitted.countDown(), ended::countDown);
+            var listener = new InheritedListener(socket, loop, new SystemCallFailureCounter(), client -> admitted.countDown(),
+                    ended::countDown);
             loop.execute(() -> {
                 try {
                     loopMayContinue.await();
@@ -123,7 +124,8 @@
         try (var server = new FakeServer(); var discovery = new FakeServer();
                 var platform = new SocketActivator(dir, config(server, discovery))) {
             server.answerAll(FakeServer.okResponse("served"));
-            discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, ProxyFixture.serverEntry("s0", server.address(), "ready"))));
+            String serverEntry = ProxyFixture.serverEntry("s0", server.address(), "ready");
+            discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, serverEntry)));
             platform.startProxy();
             platform.waitForLine("listening proxy=n0 socket=inherited");
             try (var client = platform.client()) {
@@ -145,7 +147,8 @@
     /** Returns a configuration with an address of discovery and one known server. */
     static ObjectNode config(FakeServer server, FakeServer discovery) throws Exception {
         ObjectNode config = ProxyFixture.config().put("discovery", discovery.address());
-        config.set("known", Config.JSON.readTree(ProxyFixture.serverList(41, true, ProxyFixture.serverEntry("s0", server.address(), "ready"))));
+        String serverEntry = ProxyFixture.serverEntry("s0", server.address(), "ready");
+        config.set("known", Config.JSON.readTree(ProxyFixture.serverList(41, true, serverEntry)));
         return config;
     }
 }
