--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -124,7 +124,7 @@
 
     private FleetAccess fleet() throws InvalidCallException {
         if (fleet == null) {
-            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + ProcessEnvironment.FLEET
+            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + ProcessEnvironment.FLEET_VARIABLE
                     + " is not set");
         }
         return fleet;
--- a/proxy/src/main/java/walkpost/proxy/ProcessEnvironment.java
+++ b/proxy/src/main/java/walkpost/proxy/ProcessEnvironment.java
@@ -19,7 +19,7 @@
 record ProcessEnvironment(InetSocketAddress operatorAddress, Path tempDir, ServerSocketChannel inheritedListener,
         ProxyFleetMember.Opener fleetOpener) {
     /** The environment variable with the path of the fleet's configuration file. If it is unset, the proxy is in no fleet. */
-    static final String FLEET = "WALKPOST_FLEET";
+    static final String FLEET_VARIABLE = "WALKPOST_FLEET";
 
     /**
      * Reads the settings from environment variables and, where these are unset, from the configuration.
@@ -38,7 +38,7 @@
     }
 
     private static ProxyFleetMember.Opener fleetOpener(Map<String, String> environment, Config config) {
-        String file = environment.getOrDefault(FLEET, "");
+        String file = environment.getOrDefault(FLEET_VARIABLE, "");
         if (file.isEmpty()) {
             return null;
         }
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -95,7 +95,7 @@
             member.onJoined(opener.open());
         } catch (FleetException e) {
             if (!shared || e instanceof FleetException.BadFile) {
-                throw new Config.InvalidConfigException(ProcessEnvironment.FLEET + ": " + e.getMessage());
+                throw new Config.InvalidConfigException(ProcessEnvironment.FLEET_VARIABLE + ": " + e.getMessage());
             }
             member.joinLater(opener, e);
         }
--- a/proxy/src/main/java/walkpost/proxy/Serve.java
+++ b/proxy/src/main/java/walkpost/proxy/Serve.java
@@ -118,7 +118,7 @@
             Config config = Config.read(configFile());
             // The fleet is left out, because all proxies use the archive and few are in a fleet.
             var environment = new HashMap<>(System.getenv());
-            environment.remove(ProcessEnvironment.FLEET);
+            environment.remove(ProcessEnvironment.FLEET_VARIABLE);
             Serve serve = new Serve(config, ProcessEnvironment.of(environment, config));
             serve.start();
             serve.warmUp(Warmup.MAX_REQUESTS);
--- a/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
@@ -36,7 +36,7 @@
                 secret = "fleet.key"
                 %s
                 """.formatted(bind, moreLines));
-        return Map.of(ProcessEnvironment.FLEET, file.toString());
+        return Map.of(ProcessEnvironment.FLEET_VARIABLE, file.toString());
     }
 
     private static ObjectNode config() throws Exception {
