--- a/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
@@ -54,7 +54,7 @@
         this.proxyName = proxyName;
     }
 
-    /** Returns whether the process has been told to end. */
+    /** Returns whether the shutdown has begun. */
     boolean hasBegun() {
         return begun;
     }
--- a/proxy/src/main/java/walkpost/proxy/Serve.java
+++ b/proxy/src/main/java/walkpost/proxy/Serve.java
@@ -194,7 +194,7 @@
                 throw new Config.InvalidConfigException("PROXY_LISTEN_FD: can't get the address of the inherited listening socket: " + e);
             }
         }
-        // If the process was told to end before it could listen, it accepts no client.
+        // If the shutdown began before the proxy could listen, it accepts no client.
         InetSocketAddress address = bind("listen",
                 () -> frontend.isStopped() ? null
                         : frontend.listen(loop, () -> new DrainingServerSocketChannel(failures), config.listen()));
--- a/proxy/src/test/java/walkpost/proxy/AcceptFailureTest.java
+++ b/proxy/src/test/java/walkpost/proxy/AcceptFailureTest.java
@@ -27,7 +27,7 @@
 /** Tests that listeners recover from an accept that fails for a moment, such as for lack of a descriptor. */
 class AcceptFailureTest {
     /** Less than the second for which Netty's own listener accepts no client after a failure. */
-    private static final long SHORT_OF_NETTYS_PAUSE_MS = 900;
+    private static final long LESS_THAN_NETTY_PAUSE_MS = 900;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
@@ -47,7 +47,7 @@
         SocketChannel accept() throws IOException {
             if (failures.getAndDecrement() > 0) {
                 if (failures.get() == 0) {
-                    loop.schedule(() -> events.add("late"), SHORT_OF_NETTYS_PAUSE_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(() -> events.add("late"), LESS_THAN_NETTY_PAUSE_MS, TimeUnit.MILLISECONDS);
                 }
                 throw new IOException("Too many open files");
             }
--- a/proxy/src/test/java/walkpost/proxy/BalancerDriverTest.java
+++ b/proxy/src/test/java/walkpost/proxy/BalancerDriverTest.java
@@ -150,14 +150,14 @@
      * Disconnects the client while the balancer handles one event, which takes longer than the loop may be delayed. The balancer then
      * orders an attempt, which must not begin.
      *
-     * @param isMoment selects that event
+     * @param isDisconnectMoment selects that event
      * @param attempts the number of attempts that begin before that event
      */
-    private static void clientDisconnectsDuring(Predicate<Event> isMoment, int attempts) throws Exception {
+    private static void clientDisconnectsDuring(Predicate<Event> isDisconnectMoment, int attempts) throws Exception {
         var started = new CompletableFuture<ProxyFixture>();
         var leavingClient = new CompletableFuture<RawConnection>();
         try (var server = new FakeServer(); var proxy = new ProxyFixture((event, actions) -> {
-            if (isMoment.test(event)) {
+            if (isDisconnectMoment.test(event)) {
                 close(leavingClient.join());
                 started.join().advanceClock(Duration.ofMillis(100));
             }
@@ -182,9 +182,9 @@
         }
     }
 
-    private static void close(RawConnection wire) {
+    private static void close(RawConnection connection) {
         try {
-            wire.close();
+            connection.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ShutdownTest.java
@@ -109,20 +109,20 @@
     /** Repeated signals neither delay the end nor bring it forward. */
     @Test
     void furtherSignalsDoNotChangeTheShutdown(@TempDir Path dir) throws Exception {
-        try (var program = new ServeProcess(dir, config(100_000))) {
-            String listening = program.waitForLine("listening proxy");
+        try (var process = new ServeProcess(dir, config(100_000))) {
+            String listening = process.waitForLine("listening proxy");
             int port = Integer.parseInt(listening.replaceAll(".*port=", ""));
             try (var client = RawConnection.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
                 client.send(ProxyFixture.get("r1").replace("1900m", "9000m"));
                 server.accept().read();
-                program.signal("TERM");
-                program.waitForLine("draining");
-                program.signal("TERM");
-                program.signal("HUP");
+                process.signal("TERM");
+                process.waitForLine("draining");
+                process.signal("TERM");
+                process.signal("HUP");
                 assertThat(client.read().status()).isGreaterThanOrEqualTo(500);
                 assertThat(client.awaitClose()).isTrue();
-                assertThat(program.linesUpTo("drained|ends_with_clients")).noneMatch(line -> line.contains("draining"));
-                assertThat(program.exitStatus()).isZero();
+                assertThat(process.linesUpTo("drained|ends_with_clients")).noneMatch(line -> line.contains("draining"));
+                assertThat(process.exitStatus()).isZero();
             }
         }
     }
--- a/proxy/src/test/java/walkpost/proxy/SystemCallFaultsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/SystemCallFaultsTest.java
@@ -30,7 +30,7 @@
         server = new FakeServer();
     }
 
-    private ServeProcess program(SystemCallFaults faults) throws IOException {
+    private ServeProcess startProxy(SystemCallFaults faults) throws IOException {
         ObjectNode config = ProxyFixture.config();
         config.put("discovery", discovery.address());
         String entry = ProxyFixture.serverEntry("s0", server.address(), "ready");
@@ -38,8 +38,8 @@
         return new ServeProcess(dir, config, faults.environment());
     }
 
-    private static RawConnection client(ServeProcess program) throws IOException {
-        String line = program.waitForLine("listening");
+    private static RawConnection client(ServeProcess process) throws IOException {
+        String line = process.waitForLine("listening");
         int port = Integer.parseInt(line.replaceAll(".*port=(\\d+).*", "$1"));
         return RawConnection.connect(new InetSocketAddress("127.0.0.1", port));
     }
@@ -52,15 +52,15 @@
     @ValueSource(strings = {"EMFILE", "ENOBUFS"})
     void callsDiscoveryAgainDespiteAFailedSocketCall(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "socket=" + error + ";most=1");
-        try (ServeProcess program = program(faults)) {
+        try (ServeProcess process = startProxy(faults)) {
             RawConnection call = discovery.accept();
             call.read();
             faults.arm();
             call.send(FakeServer.okResponse(ProxyFixture.serverList(42, true)));
             assertThat(discovery.accept().read().first()).contains("from=42&");
             assertThat(faults.injected()).hasSize(1);
-            program.signal("KILL");
-            assertThat(program.linesUpTo("no such line")).noneMatch(line -> line.contains("asked_again"));
+            process.signal("KILL");
+            assertThat(process.linesUpTo("no such line")).noneMatch(line -> line.contains("asked_again"));
         }
     }
 
@@ -68,14 +68,14 @@
     @ValueSource(strings = {"EHOSTUNREACH", "ETIMEDOUT", "EINTR", "SHORT"})
     void readsDiscoverysAnswerDespiteAFailedRead(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "read=" + error + ";most=1");
-        try (ServeProcess program = program(faults)) {
+        try (ServeProcess process = startProxy(faults)) {
             RawConnection call = discovery.accept();
             call.read();
             faults.arm();
             call.send(listWithDrainingServer());
             assertThat(discovery.accept().read().first()).contains("from=42&");
             assertThat(faults.injected()).hasSize(1);
-            assertThat(program.hasEnded()).isFalse();
+            assertThat(process.hasEnded()).isFalse();
         }
     }
 
@@ -84,7 +84,7 @@
     void answersARequestDespiteAFailedReadFromItsClient(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "read=" + error + ";most=1");
         server.answerAll(FakeServer.okResponse("served"));
-        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+        try (ServeProcess process = startProxy(faults); RawConnection client = client(process)) {
             String request = ProxyFixture.get("r1");
             client.send(request.substring(0, 20));
             faults.arm();
@@ -99,7 +99,7 @@
     void answersARequestDespiteFailedWrites(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "write=" + error + ";most=2");
         BlockingQueue<RawConnection.Message> attempts = server.answerAll(FakeServer.okResponse("served"));
-        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+        try (ServeProcess process = startProxy(faults); RawConnection client = client(process)) {
             faults.arm();
             client.send(ProxyFixture.post("r1", "a body"));
             assertThat(client.read().body()).isEqualTo("served");
@@ -112,7 +112,7 @@
     @ValueSource(strings = {"ENOBUFS", "EHOSTUNREACH"})
     void deliversAnAnswerDespiteAFailedWrite(String error) throws Exception {
         var faults = new SystemCallFaults(dir, "write=" + error + ";most=1");
-        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+        try (ServeProcess process = startProxy(faults); RawConnection client = client(process)) {
             client.send(ProxyFixture.get("r1"));
             RawConnection attempt = server.accept();
             attempt.read();
@@ -126,7 +126,7 @@
     @Test
     void reportsATruncatedAnswerOfUnknownLength() throws Exception {
         var faults = new SystemCallFaults(dir, "read=ETIMEDOUT;most=1");
-        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+        try (ServeProcess process = startProxy(faults); RawConnection client = client(process)) {
             client.send(ProxyFixture.get("r1"));
             RawConnection attempt = server.accept();
             attempt.read();
@@ -137,7 +137,7 @@
             attempt.close();
             faults.await(1);
             assertThatThrownBy(client::readToEnd).isInstanceOf(IOException.class);
-            assertThat(program.hasEnded()).isFalse();
+            assertThat(process.hasEnded()).isFalse();
         }
     }
 
@@ -146,10 +146,10 @@
     void startsDespiteFailedCalls(String call) throws Exception {
         var faults = new SystemCallFaults(dir, call + ";most=3");
         faults.arm();
-        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+        try (ServeProcess process = startProxy(faults); RawConnection client = client(process)) {
             client.send("GET /ready HTTP/1.1\r\n\r\n");
             assertThat(client.read()).isNotNull();
-            assertThat(program.hasEnded()).isFalse();
+            assertThat(process.hasEnded()).isFalse();
             assertThat(faults.injected()).hasSize(3);
         }
     }
@@ -158,8 +158,8 @@
     void startsDespiteFailedReadsOfItsConfiguration() throws Exception {
         var faults = new SystemCallFaults(dir, "open_read=EMFILE;path=config.json;most=2");
         faults.arm();
-        try (ServeProcess program = program(faults)) {
-            assertThat(program.waitForLine("listening")).isNotNull();
+        try (ServeProcess process = startProxy(faults)) {
+            assertThat(process.waitForLine("listening")).isNotNull();
             assertThat(faults.injected()).hasSize(2);
         }
     }
@@ -167,12 +167,12 @@
     @Test
     void reloadsItsConfigurationDespiteFailedReads() throws Exception {
         var faults = new SystemCallFaults(dir, "open_read=EIO;path=config.json;most=2");
-        try (var next = new FakeServer(); ServeProcess program = program(faults)) {
+        try (var next = new FakeServer(); ServeProcess process = startProxy(faults)) {
             discovery.accept().read();
-            program.waitForLine("listening");
-            program.writeConfig(ProxyFixture.config().put("discovery", next.address()));
+            process.waitForLine("listening");
+            process.writeConfig(ProxyFixture.config().put("discovery", next.address()));
             faults.arm();
-            program.signal("HUP");
+            process.signal("HUP");
             assertThat(next.accept().read().first()).contains("/v1/endpoints");
             assertThat(faults.injected()).hasSize(2);
         }
@@ -183,16 +183,16 @@
     void servesUntilTheEndOfAShutdownDespiteFailedWakeups(String call) throws Exception {
         var faults = new SystemCallFaults(dir, call + ";most=2");
         server.answerAll(FakeServer.okResponse("served"));
-        try (ServeProcess program = program(faults); RawConnection client = client(program)) {
+        try (ServeProcess process = startProxy(faults); RawConnection client = client(process)) {
             client.send(ProxyFixture.get("r1"));
             assertThat(client.read().status()).isEqualTo(200);
             faults.arm();
-            program.signal("TERM");
-            assertThat(program.waitForLine("draining")).isNotNull();
+            process.signal("TERM");
+            assertThat(process.waitForLine("draining")).isNotNull();
             client.send(ProxyFixture.get("r2"));
             assertThat(client.read().status()).isEqualTo(200);
-            assertThat(program.waitForLine("drained|ends_with_clients")).isNotNull();
-            assertThat(program.exitStatus()).isZero();
+            assertThat(process.waitForLine("drained|ends_with_clients")).isNotNull();
+            assertThat(process.exitStatus()).isZero();
         }
     }
 }
--- a/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/walkpost/proxy/UpgradeTest.java
@@ -122,23 +122,23 @@
     @Test
     void theNextProcessServesOverTheSameSocket(@TempDir Path dir) throws Exception {
         try (var server = new FakeServer(); var discovery = new FakeServer();
-                var platform = new SocketActivator(dir, config(server, discovery))) {
+                var activator = new SocketActivator(dir, config(server, discovery))) {
             server.answerAll(FakeServer.okResponse("served"));
             String serverEntry = ProxyFixture.serverEntry("s0", server.address(), "ready");
             discovery.answerAll(FakeServer.okResponse(ProxyFixture.serverList(42, true, serverEntry)));
-            platform.startProxy();
-            platform.waitForLine("listening proxy=n0 socket=inherited");
-            try (var client = platform.client()) {
+            activator.startProxy();
+            activator.waitForLine("listening proxy=n0 socket=inherited");
+            try (var client = activator.client()) {
                 assertThat(client.send(ProxyFixture.get("r1")).read().body()).isEqualTo("served");
-                platform.startProxy();
-                platform.waitForLine("listening proxy=n0 socket=inherited");
-                platform.terminateOldest();
-                assertThat(platform.waitForLine("draining|drained")).contains("draining");
+                activator.startProxy();
+                activator.waitForLine("listening proxy=n0 socket=inherited");
+                activator.terminateOldest();
+                assertThat(activator.waitForLine("draining|drained")).contains("draining");
                 assertThat(client.send(ProxyFixture.get("r2")).read().header("Connection")).isEqualTo("close");
                 // The log goes on after the JDK has closed descriptor 2 along with the socket.
-                assertThat(platform.waitForLine("drained")).endsWith(" INFO serve drained proxy=n0");
+                assertThat(activator.waitForLine("drained")).endsWith(" INFO serve drained proxy=n0");
             }
-            try (var client = platform.client()) {
+            try (var client = activator.client()) {
                 assertThat(client.send(ProxyFixture.get("r3")).read().body()).isEqualTo("served");
             }
         }
--- a/proxy/src/test/java/walkpost/proxy/WarmupTest.java
+++ b/proxy/src/test/java/walkpost/proxy/WarmupTest.java
@@ -39,8 +39,8 @@
 
     @Test
     void aProxyWithLittleTrafficListensWithoutAWarmup(@TempDir Path dir) throws Exception {
-        try (var program = new ServeProcess(dir, ProxyFixture.config())) {
-            assertThat(program.waitForLine("warmed_up|listening")).contains(" serve listening proxy=n0 port=");
+        try (var process = new ServeProcess(dir, ProxyFixture.config())) {
+            assertThat(process.waitForLine("warmed_up|listening")).contains(" serve listening proxy=n0 port=");
         }
     }
 
@@ -53,9 +53,9 @@
     /** A real process logs its warm-up and listens only after that. */
     @Test
     void listensOnlyAfterTheWarmup(@TempDir Path dir) throws Exception {
-        try (var program = new ServeProcess(dir, config(8_000))) {
-            assertThat(program.waitForLine("warmed_up|listening|library")).matches(".* INFO serve warmed_up requests=[1-9]\\d*");
-            assertThat(program.waitForLine("listening")).contains(" proxy=n0 ");
+        try (var process = new ServeProcess(dir, config(8_000))) {
+            assertThat(process.waitForLine("warmed_up|listening|library")).matches(".* INFO serve warmed_up requests=[1-9]\\d*");
+            assertThat(process.waitForLine("listening")).contains(" proxy=n0 ");
             try (var filesLeft = Files.list(dir)) {
                 assertThat(filesLeft).containsExactly(dir.resolve("config.json"));
             }
