--- a/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
@@ -7,11 +7,11 @@
 /**
  * Shuts the process down gracefully on SIGTERM: every accepted request is answered, and the process ends before the platform kills it.
  * Clients are served over their open connections until shortly before the end, because the next proxy in this place starts no
- * sooner and there may be no other proxy. {@link #run} blocks its caller, and any thread may call
- * {@link #hasBegun}. Everything else runs on the event loop.
+ * sooner and there may be no other proxy. {@link #run} blocks its caller, and any thread may call {@link #hasBegun}. Everything else runs
+ * on the event loop.
  */
 final class GracefulShutdown {
-    /** How long after SIGTERM the front still opens new connections to this proxy. */
+    /** How long new connections keep coming in after SIGTERM, until the front stops sending clients to this proxy. */
     private static final long FRONT_LAG_MS = 500;
     /** How long after the longest deadline, counted from SIGTERM, the process ends. The platform kills it a little later. */
     private static final long END_AFTER_DEADLINE_MS = 600;
