--- a/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/walkpost/proxy/GracefulShutdown.java
@@ -7,11 +7,11 @@
 /**
  * Shuts the process down gracefully on SIGTERM: every accepted request is answered, and the process ends before the platform kills it.
  * Clients are served over their open connections until shortly before the end, because the next proxy in this place starts no
- * sooner and there may be no other proxy. {@link #run} blocks its caller, and any thread may call
- * {@link #hasBegun}. Everything else runs on the event loop.
+ * sooner and there may be no other proxy. {@link #run} blocks its caller, and any thread may call {@link #hasBegun}. Everything else runs
+ * on the event loop.
  */
 final class GracefulShutdown {
-    /** How long after SIGTERM the front still opens new connections to this proxy. */
+    /** How long new connections keep coming in after SIGTERM, until the front stops sending clients to this proxy. */
     private static final long FRONT_LAG_MS = 500;
     /** How long after the longest deadline, counted from SIGTERM, the process ends. The platform kills it a little later. */
     private static final long END_AFTER_DEADLINE_MS = 600;
@@ -32,7 +32,7 @@
     private final ProxyClock clock;
     private final EventLoop loop;
     private final Frontend frontend;
-    private final EventLoopLagMonitor beat;
+    private final EventLoopLagMonitor lagMonitor;
     private final boolean sharedListener;
     private final String proxyName;
     private final CountDownLatch clientsGone = new CountDownLatch(1);
@@ -44,16 +44,17 @@
      * @param sharedListener whether clients come in over a listening socket that the next process holds as well
      * @param proxyName the name of the proxy in the log
      */
-    GracefulShutdown(ProxyClock clock, EventLoop loop, Frontend frontend, EventLoopLagMonitor beat, boolean sharedListener, String proxyName) {
+    GracefulShutdown(ProxyClock clock, EventLoop loop, Frontend frontend, EventLoopLagMonitor lagMonitor, boolean sharedListener,
+            String proxyName) {
         this.clock = clock;
         this.loop = loop;
         this.frontend = frontend;
-        this.beat = beat;
+        this.lagMonitor = lagMonitor;
         this.sharedListener = sharedListener;
         this.proxyName = proxyName;
     }
 
-    /** Returns whether the process has been told to end. */
+    /** Returns whether the shutdown has begun. */
     boolean hasBegun() {
         return begun;
     }
@@ -115,7 +116,7 @@
         }
         // Connections close only after a further poll of the sockets, because a listener that is closed in the same turn of the loop
         // accepts its waiting clients until then.
-        scheduleBeforeEnd(endAtUs, Math.min(CLOSE_CONNECTIONS_MS, endMs - FRONT_LAG_MS), () -> beat.runAfterIoPoll(() -> {
+        scheduleBeforeEnd(endAtUs, Math.min(CLOSE_CONNECTIONS_MS, endMs - FRONT_LAG_MS), () -> lagMonitor.runAfterIoPoll(() -> {
             frontend.closeAfterResponses();
             frontend.closeIdleConnections();
         }));
--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -124,8 +124,8 @@
 
     private FleetAccess fleet() throws InvalidCallException {
         if (fleet == null) {
-            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable " + ProcessEnvironment.FLEET
-                    + " must name the fleet's file");
+            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable "
+                    + ProcessEnvironment.FLEET_VARIABLE + " must name the fleet's file");
         }
         return fleet;
     }
