--- a/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestReceiver.java
@@ -49,14 +49,9 @@
         connection.bodyBytesReceived(bytes.readableBytes());
         awaitsContinue &= !bytes.isReadable();
         if (startedExchange == null && bytes.isReadable()
-<<<<<<< HEAD
-                && (body.readableBytes() + bytes.readableBytes() > ServerConnections.MAX_BODY || frontend.bufferBudget.isExhausted())) {
-            var relay = new BodyRelay(body, this, frontend.bufferBudget);
-=======
                 && (body.readableBytes() + bytes.readableBytes() > ServerConnections.MAX_BUFFERED_BODY_BYTES
-                        || frontend.buffers.isExhausted())) {
-            var relay = new BodyRelay(body, this, frontend.buffers);
->>>>>>> wording-p3
+                        || frontend.bufferBudget.isExhausted())) {
+            var relay = new BodyRelay(body, this, frontend.bufferBudget);
             body = Unpooled.EMPTY_BUFFER;
             startedExchange = new ClientExchange(frontend, connection, head, rulesAtArrival, body, relay);
             connection.startOrQueue(startedExchange);
