--- a/app/src/main/java/walkpost/app/Hollow.java
+++ b/app/src/main/java/walkpost/app/Hollow.java
@@ -157,7 +157,7 @@
         public void member(Member member) { }
 
         @Override
-        public void entryReceived(Entry fact) { }
+        public void entryReceived(Entry entry) { }
 
         @Override
         public void stale(Entry.Key key) { }
--- a/fleet/src/main/java/walkpost/fleet/copy/ShardAction.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/ShardAction.java
@@ -32,7 +32,7 @@
     record EffectiveOrderChanged(Order.Key key, EffectiveOrder acting) implements ShardAction { }
 
     /** Reports a new entry of another member; its payload is null if the entry was withdrawn. */
-    record EntryReceived(Entry fact) implements ShardAction { }
+    record EntryReceived(Entry entry) implements ShardAction { }
 
     /** Reports that this shard has caught up with a majority, or can no longer be sure of it. */
     record CaughtUpChanged(boolean level) implements ShardAction { }
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
@@ -22,7 +22,7 @@
     /** A message has come from a member. */
     record Received(String from, ObserveMessage message) implements FeedEvent { }
 
-    /** A member asks for facts; {@code own} are those on that topic that this voter has written itself, their ages counted to now. */
+    /** A member asks for entries; {@code own} are those on that topic that this voter has written itself, their ages counted to now. */
     record Asked(String from, ObserveMessage.AskEntries question, List<Entry> own) implements FeedEvent {
         public Asked {
             own = List.copyOf(own);
--- a/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
@@ -24,13 +24,13 @@
     private static final Comparator<Entry> NEWER = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
     /** What the voters have answered, those that did not in time named. */
-    public record EntriesFound(List<Entry> facts, List<String> silent) { }
+    public record EntriesFound(List<Entry> entries, List<String> silent) { }
 
     /** By how many an order is held, of how many; names of some that lack it; the voters that did not answer. */
     public record Coverage(int held, int of, List<String> lacking, List<String> silent) { }
 
     private static final class Question {
-        private final boolean facts;
+        private final boolean aboutEntries;
         private final long untilUs;
         private final TreeSet<String> silent;
         private final Map<String, BitSet> parts = new TreeMap<>();
@@ -39,8 +39,8 @@
         private int held;
         private int of;
 
-        private Question(boolean facts, long nowUs, Collection<String> voters) {
-            this.facts = facts;
+        private Question(boolean aboutEntries, long nowUs, Collection<String> voters) {
+            this.aboutEntries = aboutEntries;
             this.untilUs = nowUs + PATIENCE_US;
             this.silent = new TreeSet<>(voters);
         }
@@ -49,7 +49,7 @@
     private final Map<Long, Question> open = new TreeMap<>();
     private long numbers;
 
-    /** Asks which facts on a topic were reported; {@code send} gets whom to ask and the message. Returns the question's number. */
+    /** Asks which entries on a topic were reported; {@code send} gets whom to ask and the message. Returns the question's number. */
     public long askEntries(long nowUs, String topic, Collection<String> voters, BiConsumer<String, ObserveMessage> send) {
         open.put(++numbers, new Question(true, nowUs, voters));
         voters.forEach(to -> send.accept(to, new ObserveMessage.AskEntries(numbers, topic)));
@@ -67,11 +67,11 @@
     public void received(long nowUs, String from, ObserveMessage message) {
         if (message instanceof ObserveMessage.Entries answer) {
             Question question = open.get(answer.seq());
-            if (question == null || !question.facts || !question.silent.contains(from)
+            if (question == null || !question.aboutEntries || !question.silent.contains(from)
                     || !MessageSizes.isValidPart(answer.part(), answer.parts())) {
                 return;
             }
-            answer.facts().forEach(fact -> question.found.merge(fact.key(), fact, (a, b) -> NEWER.compare(a, b) >= 0 ? a : b));
+            answer.facts().forEach(entry -> question.found.merge(entry.key(), entry, (a, b) -> NEWER.compare(a, b) >= 0 ? a : b));
             BitSet parts = question.parts.computeIfAbsent(from, name -> new BitSet());
             parts.set(answer.part());
             if (parts.cardinality() == answer.parts()) {
@@ -79,7 +79,7 @@
             }
         } else if (message instanceof ObserveMessage.Held answer) {
             Question question = open.get(answer.seq());
-            if (question != null && !question.facts && question.silent.remove(from)) {
+            if (question != null && !question.aboutEntries && question.silent.remove(from)) {
                 question.held += answer.held();
                 question.of += answer.of();
                 question.lacking.addAll(answer.lacking());
@@ -88,15 +88,15 @@
     }
 
     /** Hands over what is answered by all, or has waited for a second. */
-    public void done(long nowUs, BiConsumer<Long, Inquiries.EntriesFound> facts, BiConsumer<Long, Coverage> held) {
+    public void done(long nowUs, BiConsumer<Long, EntriesFound> entries, BiConsumer<Long, Coverage> held) {
         for (Map.Entry<Long, Question> each : List.copyOf(open.entrySet())) {
             Question question = each.getValue();
             if (!question.silent.isEmpty() && nowUs < question.untilUs) {
                 continue;
             }
             open.remove(each.getKey());
-            if (question.facts) {
-                facts.accept(each.getKey(), new Inquiries.EntriesFound(new ArrayList<>(question.found.values()), List.copyOf(question.silent)));
+            if (question.aboutEntries) {
+                entries.accept(each.getKey(), new EntriesFound(new ArrayList<>(question.found.values()), List.copyOf(question.silent)));
             } else {
                 held.accept(each.getKey(), new Coverage(question.held, question.of, List.copyOf(question.lacking),
                         List.copyOf(question.silent)));
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
@@ -153,17 +153,17 @@
         }
     }
 
-    /** Facts that the observer wrote, their ages counted to the sending. */
+    /** Entries that the observer wrote, their ages counted to the sending. */
     record Report(List<Entry> facts) implements ObserveMessage {
         public Report {
             facts = List.copyOf(facts);
         }
     }
 
-    /** Which facts on a topic were reported to the voter asked? */
+    /** Which entries on a topic were reported to the voter asked? */
     record AskEntries(long seq, String topic) implements ObserveMessage { }
 
-    /** Those facts, their ages counted to the sending; one of so many parts. */
+    /** Those entries, their ages counted to the sending; one of so many parts. */
     record Entries(long seq, int part, int parts, List<Entry> facts) implements ObserveMessage {
         public Entries {
             facts = List.copyOf(facts);
--- a/fleet/src/main/java/walkpost/fleet/observe/Observer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Observer.java
@@ -40,7 +40,7 @@
     private final Feeds feeds;
     private final Comparison comparison;
     private final Calls calls;
-    private final OwnEntries facts;
+    private final OwnEntries entries;
     private final Map<Order.Key, EffectiveOrder> told = new HashMap<>();
     private final Set<Order.Key> untold = new LinkedHashSet<>();
     private Map<String, Integer> lives = Map.of();
@@ -68,7 +68,7 @@
         feeds = new Feeds(settings, self.name(), region, counts, random);
         comparison = new Comparison(table, counts, seed);
         calls = new Calls(settings, self, counts);
-        facts = new OwnEntries(self, counts);
+        entries = new OwnEntries(self, counts);
     }
 
     @Override
@@ -86,7 +86,7 @@
                 counts.count("dropped.no_voter");
             }
         } else if (event instanceof ObserverEvent.WriteEntry tell) {
-            facts.write(nowUs, tell.topic(), tell.subject(), tell.payload());
+            entries.write(nowUs, tell.topic(), tell.subject(), tell.payload());
         } else if (event instanceof ObserverEvent.Propose propose) {
             calls.propose(nowUs, propose);
             calls.tick(nowUs, feeds.inTurn(), controlAgeUs(nowUs), send, actions);
@@ -142,7 +142,7 @@
     private void tick(long nowUs, Send send, Consumer<ObserverAction> actions) {
         table.forget(nowUs, settings.removalUs());
         feeds.tick(nowUs, table.tree().root(), controlAgeUs(nowUs), send);
-        facts.tick(nowUs, feeds.joined(), feeds, send);
+        entries.tick(nowUs, feeds.joined(), feeds, send);
         calls.tick(nowUs, feeds.inTurn(), controlAgeUs(nowUs), send, actions);
     }
 
@@ -162,7 +162,7 @@
             calls.answer(nowUs, from, answer, actions);
         } else if (message instanceof ObserveMessage.Welcome welcome) {
             if (feeds.welcome(nowUs, from, welcome)) {
-                facts.all(nowUs, from, feeds, send);
+                entries.all(nowUs, from, feeds, send);
             }
         } else if (message instanceof ObserveMessage.Later later) {
             feeds.later(nowUs, from, later, send);
--- a/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
@@ -9,16 +9,16 @@
 import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.member.Life;
 
-/** What this observer has told of itself: owns its facts, and reports them to its feeds, which keep them for whoever asks. */
+/** What this observer has told of itself: owns its entries, and reports them to its feeds, which keep them for whoever asks. */
 final class OwnEntries {
-    /** So many facts an observer may have told at a time; one more is refused. */
+    /** So many entries an observer may have told at a time; one more is refused. */
     static final int MOST = 64;
 
     private record Told(String payload, long version, long seenUs) { }
 
     private final Life self;
     private final Counts counts;
-    private final Map<Entry.Key, Told> facts = new LinkedHashMap<>();
+    private final Map<Entry.Key, Told> entries = new LinkedHashMap<>();
     private final Map<Entry.Key, Told> news = new LinkedHashMap<>();
     private long version;
 
@@ -30,15 +30,15 @@
     void write(long nowUs, String topic, String subject, String payload) {
         var key = new Entry.Key(topic, subject, self.name());
         if (MessageSizes.utf8Length(topic) > MessageSizes.TOPIC || MessageSizes.utf8Length(subject) > MessageSizes.SUBJECT || MessageSizes.utf8Length(payload) > MessageSizes.FACT
-                || !facts.containsKey(key) && facts.size() >= MOST) {
+                || !entries.containsKey(key) && entries.size() >= MOST) {
             counts.count("facts.refused");
             return;
         }
         var told = new Told(payload, ++version, nowUs);
-        facts.put(key, told);
+        entries.put(key, told);
         news.put(key, told);
         if (payload == null) {
-            facts.remove(key);
+            entries.remove(key);
         }
     }
 
@@ -52,14 +52,14 @@
 
     /** Reports all to one that has just become a feed. */
     void all(long nowUs, String to, Feeds ways, Send send) {
-        report(nowUs, to, facts, ways, send);
+        report(nowUs, to, entries, ways, send);
     }
 
     private void report(long nowUs, String to, Map<Entry.Key, Told> told, Feeds ways, Send send) {
         List<Entry> all = new ArrayList<>();
         // The way counts as well, by its round trip: an age is never too low.
-        told.forEach((key, fact) -> all.add(new Entry(key, self.incarnation(), fact.version, fact.payload,
-                nowUs - fact.seenUs + ways.roundTripUs(to))));
+        told.forEach((key, entry) -> all.add(new Entry(key, self.incarnation(), entry.version, entry.payload,
+                nowUs - entry.seenUs + ways.roundTripUs(to))));
         MessageSizes.split(all, MessageSizes::bytesOf).forEach(part -> send.to(to, new ObserveMessage.Report(part)));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Reports.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Reports.java
@@ -9,37 +9,37 @@
 import walkpost.fleet.copy.MessageSizes;
 
 /**
- * What observers have reported to this voter: owns these facts, for those who ask. They are passed on to nobody. A writer's are bounded in
- * number, and what is old and whose writer is gone is forgotten.
+ * The entries that observers have reported to this voter, kept for members that ask. They are not passed on. The number of entries per
+ * writer is bounded, and old entries of writers that are gone are forgotten.
  */
 final class Reports {
     /** For how long what a writer that has gone said is kept, so that operators still see it. */
     private static final long GONE_US = 60_000_000;
     private static final Comparator<Entry> NEWER = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
-    private record ReportedEntry(Entry fact, long seenUs) { }
+    private record ReportedEntry(Entry entry, long seenUs) { }
 
     private final Counts counts;
-    private final Map<String, Map<Entry.Key, Reports.ReportedEntry>> byWriter = new LinkedHashMap<>();
+    private final Map<String, Map<Entry.Key, ReportedEntry>> byWriter = new LinkedHashMap<>();
 
     Reports(Counts counts) {
         this.counts = counts;
     }
 
-    void take(long nowUs, String from, List<Entry> facts) {
-        for (Entry fact : facts) {
-            boolean wrong = !fact.key().writer().equals(from) || fact.ageUs() < 0 || fact.ageUs() > Observer.NEVER_US
-                    || MessageSizes.utf8Length(fact.payload()) > MessageSizes.FACT;
-            Map<Entry.Key, Reports.ReportedEntry> own = wrong ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
-            if (wrong || !own.containsKey(fact.key()) && own.size() >= OwnEntries.MOST) {
+    void take(long nowUs, String from, List<Entry> entries) {
+        for (Entry entry : entries) {
+            boolean wrong = !entry.key().writer().equals(from) || entry.ageUs() < 0 || entry.ageUs() > Observer.NEVER_US
+                    || MessageSizes.utf8Length(entry.payload()) > MessageSizes.FACT;
+            Map<Entry.Key, ReportedEntry> own = wrong ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
+            if (wrong || !own.containsKey(entry.key()) && own.size() >= OwnEntries.MOST) {
                 counts.count("facts.refused");
                 continue;
             }
-            Reports.ReportedEntry known = own.get(fact.key());
-            if (known == null || NEWER.compare(fact, known.fact) > 0) {
+            ReportedEntry known = own.get(entry.key());
+            if (known == null || NEWER.compare(entry, known.entry) > 0) {
                 // A new life withdraws what the one before said.
-                own.values().removeIf(entry -> entry.fact.incarnation() < fact.incarnation());
-                own.put(fact.key(), new Reports.ReportedEntry(fact, nowUs - fact.ageUs()));
+                own.values().removeIf(reported -> reported.entry.incarnation() < entry.incarnation());
+                own.put(entry.key(), new ReportedEntry(entry, nowUs - entry.ageUs()));
                 counts.count("facts.reported");
             }
         }
@@ -47,8 +47,8 @@
 
     void forget(long nowUs, Attached attached) {
         byWriter.entrySet().removeIf(writer -> {
-            writer.getValue().values().removeIf(entry -> nowUs - entry.seenUs > GONE_US
-                    && (entry.fact.payload() == null || !attached.has(writer.getKey())));
+            writer.getValue().values().removeIf(reported -> nowUs - reported.seenUs > GONE_US
+                    && (reported.entry.payload() == null || !attached.has(writer.getKey())));
             return writer.getValue().isEmpty();
         });
     }
@@ -56,10 +56,10 @@
     /** Returns what is on a topic and not withdrawn, ages counted to now. */
     List<Entry> on(String topic, long nowUs) {
         List<Entry> found = new ArrayList<>();
-        byWriter.values().forEach(own -> own.values().forEach(entry -> {
-            Entry fact = entry.fact;
-            if (fact.key().topic().equals(topic) && fact.payload() != null) {
-                found.add(new Entry(fact.key(), fact.incarnation(), fact.version(), fact.payload(), nowUs - entry.seenUs));
+        byWriter.values().forEach(own -> own.values().forEach(reported -> {
+            Entry entry = reported.entry;
+            if (entry.key().topic().equals(topic) && entry.payload() != null) {
+                found.add(new Entry(entry.key(), entry.incarnation(), entry.version(), entry.payload(), nowUs - reported.seenUs));
             }
         }));
         return found;
--- a/fleet/src/main/java/walkpost/fleet/shell/Ages.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Ages.java
@@ -6,7 +6,7 @@
 import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.observe.ObserveMessage;
 
-/** Facts grow older by what they wait here, on their way in or out. */
+/** Entries grow older by what they wait here, on their way in or out. */
 final class Ages {
     /** Microseconds after which a message is not sent any more, as {@link walkpost.fleet.copy.ShardAction.Send} has it. */
     static final long LATE_US = 1_000_000;
@@ -25,13 +25,13 @@
                 ? new ObserveMessage.Entries(told.seq(), told.part(), told.parts(), aged(told.facts(), waitedUs)) : message;
     }
 
-    private static List<Entry> aged(List<Entry> facts, long waitedUs) {
-        return facts.stream().map(fact -> aged(fact, waitedUs)).toList();
+    private static List<Entry> aged(List<Entry> entries, long waitedUs) {
+        return entries.stream().map(entry -> aged(entry, waitedUs)).toList();
     }
 
-    private static Entry aged(Entry fact, long waitedUs) {
+    private static Entry aged(Entry entry, long waitedUs) {
         // An age that makes no sense is left for the machine to refuse.
-        return fact.ageUs() < 0 || fact.ageUs() > Long.MAX_VALUE - waitedUs ? fact
-                : new Entry(fact.key(), fact.incarnation(), fact.version(), fact.payload(), fact.ageUs() + waitedUs);
+        return entry.ageUs() < 0 || entry.ageUs() > Long.MAX_VALUE - waitedUs ? entry
+                : new Entry(entry.key(), entry.incarnation(), entry.version(), entry.payload(), entry.ageUs() + waitedUs);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/shell/Desk.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Desk.java
@@ -17,7 +17,7 @@
     private final BiConsumer<String, ObserveMessage> sender;
     /** Guarded by this object, as are the next three. */
     private final Inquiries inquiries = new Inquiries();
-    private final Map<Long, CompletableFuture<TopicEntries>> facts = new HashMap<>();
+    private final Map<Long, CompletableFuture<TopicEntries>> entries = new HashMap<>();
     private final Map<Long, CompletableFuture<Coverage>> held = new HashMap<>();
     private boolean ended;
 
@@ -35,7 +35,7 @@
             if (ended) {
                 return CompletableFuture.completedFuture(new TopicEntries(List.of(), voters));
             }
-            facts.put(inquiries.askEntries(clock.nowUs(), topic, voters, (to, message) -> out.add(() -> sender.accept(to, message))), answer);
+            entries.put(inquiries.askEntries(clock.nowUs(), topic, voters, (to, message) -> out.add(() -> sender.accept(to, message))), answer);
         }
         out.forEach(Runnable::run);
         return answer;
@@ -70,12 +70,12 @@
     void tick() {
         var answers = new ArrayList<Runnable>();
         synchronized (this) {
-            if (facts.isEmpty() && held.isEmpty()) {
+            if (entries.isEmpty() && held.isEmpty()) {
                 return;
             }
             inquiries.done(clock.nowUs(), (number, found) -> {
-                CompletableFuture<TopicEntries> asker = facts.remove(number);
-                answers.add(() -> asker.complete(new TopicEntries(found.facts(), found.silent())));
+                CompletableFuture<TopicEntries> asker = entries.remove(number);
+                answers.add(() -> asker.complete(new TopicEntries(found.entries(), found.silent())));
             }, (number, found) -> {
                 CompletableFuture<Coverage> asker = held.remove(number);
                 answers.add(() -> asker.complete(new Coverage(found.held(), found.of(), found.lacking(), found.silent())));
@@ -86,16 +86,16 @@
 
     /** Answers all who wait as if no voter had. */
     void end() {
-        List<CompletableFuture<TopicEntries>> ofFacts;
+        List<CompletableFuture<TopicEntries>> entryAskers;
         List<CompletableFuture<Coverage>> ofHeld;
         synchronized (this) {
             ended = true;
-            ofFacts = List.copyOf(facts.values());
+            entryAskers = List.copyOf(entries.values());
             ofHeld = List.copyOf(held.values());
-            facts.clear();
+            entries.clear();
             held.clear();
         }
-        ofFacts.forEach(asker -> asker.complete(new TopicEntries(List.of(), voters)));
+        entryAskers.forEach(asker -> asker.complete(new TopicEntries(List.of(), voters)));
         ofHeld.forEach(asker -> asker.complete(new Coverage(0, 0, List.of(), voters)));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
@@ -26,7 +26,7 @@
         /** Gives an order to its shard; what comes of it is told by {@link FeedLane#acknowledged} or {@link FeedLane#refused}. */
         void propose(Order.Key key, String id, String replaces, String payload);
 
-        /** Returns the facts on a topic that this voter has written. */
+        /** Returns the entries on a topic that this voter has written. */
         List<Entry> own(String topic);
 
         /** Gives decided orders to the shards that they lie in. */
--- a/fleet/src/main/java/walkpost/fleet/shell/FleetFile.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FleetFile.java
@@ -25,11 +25,11 @@
  * @param seeds whom to ask first
  * @param directory where orders are kept; null where they are in memory only
  * @param shards shares of the keys; the same at all members
- * @param bounds staleness of facts by topic, in microseconds
+ * @param bounds staleness of entries by topic, in microseconds
  */
 public record FleetFile(String cluster, String name, Address bind, Address advertise, List<String> members, List<String> voters,
         String region, List<Address> seeds, Secret secret, Path directory, int shards, Map<String, Long> bounds) {
-    /** Microseconds that a fact of any other topic is good for. */
+    /** Microseconds that an entry of any other topic is good for. */
     static final long OTHER_BOUND_US = 10_000_000;
     /** Names a member whose file doesn't. */
     static final String NAME_VARIABLE = "PROXY_NAME";
@@ -126,7 +126,7 @@
         return new FleetFile(cluster, member, at, null, members, voters, region, seeds, secret, null, shards, bounds);
     }
 
-    /** Returns how old a topic's facts may be and still be acted on, in microseconds. */
+    /** Returns how old a topic's entries may be and still be acted on, in microseconds. */
     public long boundUs(String topic) {
         return bounds.getOrDefault(topic, OTHER_BOUND_US);
     }
--- a/fleet/src/main/java/walkpost/fleet/shell/FleetHandle.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FleetHandle.java
@@ -16,7 +16,7 @@
     /** Has everything told to a listener from now on, what is known already first, on its executor. */
     void listen(Executor executor, FleetListener listener);
 
-    /** Writes a fact of this member's own; a null payload withdraws it. */
+    /** Writes an entry of this member's own; a null payload withdraws it. */
     void writeEntry(String topic, String subject, String payload);
 
     /**
@@ -41,7 +41,7 @@
     Map<Order.Key, EffectiveOrder> orders();
 
     /**
-     * Finds the facts of a topic. Where the fleet has voters, all of them are asked at once, and the stage ends a second later at the
+     * Finds the entries of a topic. Where the fleet has voters, all of them are asked at once, and the stage ends a second later at the
      * latest; elsewhere this copy has them all.
      */
     CompletionStage<TopicEntries> entries(String topic);
@@ -67,7 +67,7 @@
     /** Returns the voters that feed this observer, the one that counts it first; none at a voter. */
     List<String> feeds();
 
-    /** Returns the bound on a topic's facts, in microseconds. */
+    /** Returns the bound on a topic's entries, in microseconds. */
     long boundUs(String topic);
 
     /** Returns counters by name: messages in and out, bytes, dropped by cause, and so on. */
--- a/fleet/src/main/java/walkpost/fleet/shell/FleetListener.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FleetListener.java
@@ -14,10 +14,10 @@
     /** What is held of a member has changed. */
     void member(Member member);
 
-    /** Another member's fact is new; withdrawn where its payload is null. */
-    void entryReceived(Entry fact);
+    /** Another member's entry is new; withdrawn where its payload is null. */
+    void entryReceived(Entry entry);
 
-    /** A fact has grown older than its topic's bound: whatever rests on it is to fall back. */
+    /** An entry has grown older than its topic's bound: whatever rests on it is to fall back. */
     void stale(Entry.Key key);
 
     /** What is to be acted on for a key. Comes only while this member is level; to an observer, once it was level for the first time. */
--- a/fleet/src/main/java/walkpost/fleet/shell/Part.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Part.java
@@ -8,7 +8,7 @@
 import walkpost.fleet.copy.ShardEvent;
 
 /**
- * What a member does about orders and facts: one that votes does other things than one that observes. Chosen when a fleet is opened.
+ * What a member does about orders and entries: one that votes does other things than one that observes. Chosen when a fleet is opened.
  * Any thread may call, unless it says otherwise; none is held up.
  */
 interface Part {
@@ -27,7 +27,7 @@
     /** Tells a listener of all from now on, what is known already first; on the loop. */
     void listen(Outlet outlet);
 
-    /** Writes a fact of this member's own; a null payload withdraws it. */
+    /** Writes an entry of this member's own; a null payload withdraws it. */
     void writeEntry(String topic, String subject, String payload);
 
     /** Gives an order that is complete; see {@link FleetHandle#order}. */
--- a/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
@@ -281,8 +281,8 @@
             }
             tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.acting()));
         } else if (due.action instanceof ShardAction.EntryReceived heard) {
-            topics.add(heard.fact().key().topic());
-            tell(listener -> listener.entryReceived(heard.fact()));
+            topics.add(heard.entry().key().topic());
+            tell(listener -> listener.entryReceived(heard.entry()));
         } else if (due.action instanceof ShardAction.EntryStale stale) {
             Entry.Key key = stale.key();
             Log.warn("fact_stale", "topic", key.topic(), "subject", key.subject(), "writer", key.writer(), "age_ms", stale.ageUs() / 1_000);
@@ -301,11 +301,11 @@
         put(new Item(clock.nowUs(), null, 0, () -> {
             stood.forEach((key, acting) -> outlet.put(listener -> listener.effectiveOrderChanged(key, acting)));
             for (String topic : topics) {
-                for (Entry fact : entries(topic)) {
-                    if (!fact.key().writer().equals(self)) {
-                        outlet.put(listener -> listener.entryReceived(fact));
-                        if (fact.ageUs() > boundUs.applyAsLong(topic)) {
-                            outlet.put(listener -> listener.stale(fact.key()));
+                for (Entry entry : entries(topic)) {
+                    if (!entry.key().writer().equals(self)) {
+                        outlet.put(listener -> listener.entryReceived(entry));
+                        if (entry.ageUs() > boundUs.applyAsLong(topic)) {
+                            outlet.put(listener -> listener.stale(entry.key()));
                         }
                     }
                 }
--- a/fleet/src/main/java/walkpost/fleet/shell/TopicEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/TopicEntries.java
@@ -4,14 +4,14 @@
 import walkpost.fleet.copy.Entry;
 
 /**
- * The facts of a topic, as an operator gets to see them.
+ * The entries of a topic, as an operator gets to see them.
  *
- * @param facts their ages counted to now; those older than their bound are among them
- * @param silent the voters that did not answer in time, so that facts reported to these alone are missing
+ * @param entries their ages counted to now; those older than their bound are among them
+ * @param silent the voters that did not answer in time, so that entries reported to these alone are missing
  */
-public record TopicEntries(List<Entry> facts, List<String> silent) {
+public record TopicEntries(List<Entry> entries, List<String> silent) {
     public TopicEntries {
-        facts = List.copyOf(facts);
+        entries = List.copyOf(entries);
         silent = List.copyOf(silent);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/shell/VotingPart.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/VotingPart.java
@@ -186,7 +186,7 @@
 
         @Override
         public List<Entry> own(String topic) {
-            return copied(topic).stream().filter(fact -> fact.key().writer().equals(file.name())).toList();
+            return copied(topic).stream().filter(entry -> entry.key().writer().equals(file.name())).toList();
         }
 
         @Override
--- a/fleet/src/test/java/walkpost/fleet/copy/ShardCluster.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/ShardCluster.java
@@ -98,7 +98,7 @@
             } else if (action instanceof ShardAction.EffectiveOrderChanged changed) {
                 effectiveOrders.computeIfAbsent(changed.key(), key -> new ArrayList<>()).add(changed.acting());
             } else if (action instanceof ShardAction.EntryReceived received) {
-                receivedEntries.add(received.fact());
+                receivedEntries.add(received.entry());
             } else if (action instanceof ShardAction.EntryStale stale) {
                 staleEntries.add(stale.key());
             }
--- a/fleet/src/test/java/walkpost/fleet/scale/Today.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Today.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import walkpost.fleet.scale.World.Plan;
 
-/** Fleets in which every member votes and tells its facts to all: joining, quiet, with orders, and one that comes back. */
+/** Fleets in which every member votes and tells its entries to all: joining, quiet, with orders, and one that comes back. */
 final class Today {
     private static final long PATIENCE_US = 180 * Agenda.S;
     private static final long SETTLE_US = 20 * Agenda.S;
--- a/fleet/src/test/java/walkpost/fleet/scale/Writers.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Writers.java
@@ -1,6 +1,6 @@
 package walkpost.fleet.scale;
 
-/** What proxies tell of themselves: a fact a second each, some 200 bytes of JSON, as one whose condition changes all the time does. */
+/** What proxies tell of themselves: an entry a second each, some 200 bytes of JSON, as one whose condition changes all the time does. */
 final class Writers {
     private static final String TOPIC = "proxy";
 
--- a/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
@@ -84,8 +84,8 @@
         var key = new Order.Key("exclusion", "tile-1");
         var order = new Order(key, "o1", 2, List.of("o0"), "{\"out\":true}", null, FROM);
         var hold = new Commit(4, "o1", new Slot(key, List.of(order), Map.of("o0", 1L), 0));
-        var facts = new Entries(false, List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250)));
-        for (ShardMessage message : List.of(hold, facts)) {
+        var entries = new Entries(false, List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250)));
+        for (ShardMessage message : List.of(hold, entries)) {
             Envelope copy = Envelope.of(message, 5, "gent", FROM, AT, SHARDS);
             assertThat(codec.decode(codec.encode(copy))).isEqualTo(copy);
         }
@@ -96,7 +96,7 @@
         var key = new Order.Key("exclusion", "tile-1");
         var order = new Order(key, "o1", 2, List.of("o0"), "{\"out\":true}", null, FROM);
         var slots = List.of(new Slot(key, List.of(order), Map.of("o0", 1L), 0), Slot.empty(key));
-        var facts = List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250));
+        var entries = List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250));
         return List.of(new ObserveMessage.Join(1, "north", true), new ObserveMessage.Welcome(1, Map.of("v1", "north")),
                 new ObserveMessage.Later(1, ObserveMessage.Reason.FULL, 500), new ObserveMessage.Leave(),
                 new ObserveMessage.Beat(2, false, -7, Long.MAX_VALUE / 4),
@@ -107,8 +107,8 @@
                 new ObserveMessage.Taken(8), new ObserveMessage.Offer(40, slots),
                 new ObserveMessage.Call(key, "o2", null, null, 1), new ObserveMessage.Call(key, "o2", "", "{}", 1L << 61),
                 new ObserveMessage.Answer("o1", 1, 2, order, null, null, null, false),
-                new ObserveMessage.Answer("o1", 1, 2, null, "Busy", "it crosses", "wait", true), new ObserveMessage.Report(facts),
-                new ObserveMessage.AskEntries(3, "load"), new ObserveMessage.Entries(3, 0, 1, facts), new ObserveMessage.AskHeld(4, key, "o1"),
+                new ObserveMessage.Answer("o1", 1, 2, null, "Busy", "it crosses", "wait", true), new ObserveMessage.Report(entries),
+                new ObserveMessage.AskEntries(3, "load"), new ObserveMessage.Entries(3, 0, 1, entries), new ObserveMessage.AskHeld(4, key, "o1"),
                 new ObserveMessage.Held(4, 5, 6, List.of("n9")), new ObserveMessage.Sum("north", Map.of("south", 12)));
     }
 
@@ -227,9 +227,9 @@
 
     @Test
     void aMessageTooLongIsNotSent() {
-        var facts = new Entries(false,
+        var entries = new Entries(false,
                 List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, "x".repeat(Codec.MOST), 0)));
-        assertThat(codec.encode(Envelope.of(facts, 0, "gent", FROM, AT, SHARDS))).isNull();
+        assertThat(codec.encode(Envelope.of(entries, 0, "gent", FROM, AT, SHARDS))).isNull();
         assertThat(counters.get("dropped_too_long")).isOne();
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
@@ -82,8 +82,8 @@
         }
 
         @Override
-        public void entryReceived(Entry fact) {
-            add(fact);
+        public void entryReceived(Entry entry) {
+            add(entry);
         }
 
         @Override
@@ -134,8 +134,8 @@
         return event -> event instanceof Heard.Stands stands && stands.key.equals(KEY) && payload.equals(stands.acting.payload());
     }
 
-    private static Predicate<Object> fact(String writer, String payload) {
-        return event -> event instanceof Entry fact && fact.key().writer().equals(writer) && payload.equals(fact.payload());
+    private static Predicate<Object> entry(String writer, String payload) {
+        return event -> event instanceof Entry entry && entry.key().writer().equals(writer) && payload.equals(entry.payload());
     }
 
     private static Predicate<Object> member(String name, Standing standing) {
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void threeMembersHearEachOthersFactsAndAgreeOnOrders() throws Exception {
+    void threeMembersReceiveEachOthersEntriesAndAgreeOnOrders() throws Exception {
         var names = List.of("n1", "n2", "n3");
         var fleets = new ArrayList<Fleet>();
         var heard = new ArrayList<Heard>();
@@ -157,9 +157,9 @@
         assertThat(fleets).allMatch(Fleet::isCaughtUp);
 
         fleets.get(1).writeEntry("load", "n2", "{\"busy\":0.5}");
-        heard.get(0).await(fact("n2", "{\"busy\":0.5}"));
-        heard.get(2).await(fact("n2", "{\"busy\":0.5}"));
-        assertThat(fleets.get(2).entries("load").toCompletableFuture().join().facts()).extracting(Entry::payload).containsExactly("{\"busy\":0.5}");
+        heard.get(0).await(entry("n2", "{\"busy\":0.5}"));
+        heard.get(2).await(entry("n2", "{\"busy\":0.5}"));
+        assertThat(fleets.get(2).entries("load").toCompletableFuture().join().entries()).extracting(Entry::payload).containsExactly("{\"busy\":0.5}");
         heard.get(2).await(event -> event.equals(new Entry.Key("load", "n2", "n2")));
 
         Order order = ordered(fleets.get(2), "o1", "", "{\"out\":true}");
--- a/fleet/src/test/java/walkpost/fleet/shell/MemberMain.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/MemberMain.java
@@ -24,7 +24,7 @@
         public void member(Member member) { }
 
         @Override
-        public void entryReceived(Entry fact) { }
+        public void entryReceived(Entry entry) { }
 
         @Override
         public void stale(Entry.Key key) { }
--- a/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
@@ -91,7 +91,7 @@
         public void member(Member member) { }
 
         @Override
-        public void entryReceived(Entry fact) { }
+        public void entryReceived(Entry entry) { }
 
         @Override
         public void stale(Entry.Key key) { }
@@ -256,20 +256,20 @@
     }
 
     @Test
-    void factsOfAllAreFoundByAskingTheVoters() throws Exception {
+    void entriesOfAllMembersAreFoundByAskingTheVoters() throws Exception {
         openAll(false);
         open.get("o1").writeEntry("proxy", "o1", "{\"a\":1}");
         open.get("v2").writeEntry("proxy", "v2", "{\"b\":2}");
         for (String asker : List.of("o6", "v1")) {
-            TopicEntries heard = asked(() -> open.get(asker).entries("proxy"), found -> found.facts().size() == 2 && found.silent().isEmpty());
-            assertThat(heard.facts().stream().collect(Collectors.toMap(fact -> fact.key().writer(), Entry::payload)))
+            TopicEntries heard = asked(() -> open.get(asker).entries("proxy"), found -> found.entries().size() == 2 && found.silent().isEmpty());
+            assertThat(heard.entries().stream().collect(Collectors.toMap(entry -> entry.key().writer(), Entry::payload)))
                     .isEqualTo(Map.of("o1", "{\"a\":1}", "v2", "{\"b\":2}"));
-            assertThat(heard.facts()).allMatch(fact -> fact.ageUs() >= 0 && fact.ageUs() < FAILED_S * 1_000_000L);
+            assertThat(heard.entries()).allMatch(entry -> entry.ageUs() >= 0 && entry.ageUs() < FAILED_S * 1_000_000L);
         }
         open.get("v3").close();
         TopicEntries without = open.get("o6").entries("proxy").toCompletableFuture().get(FAILED_S, TimeUnit.SECONDS);
         assertThat(without.silent()).containsExactly("v3");
-        assertThat(without.facts()).hasSize(2);
+        assertThat(without.entries()).hasSize(2);
     }
 
     @Test
--- a/fleet/src/test/java/walkpost/fleet/shell/ShardLaneTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/ShardLaneTest.java
@@ -65,8 +65,8 @@
         }
 
         @Override
-        public void entryReceived(Entry fact) {
-            done.add("fact " + fact.payload());
+        public void entryReceived(Entry entry) {
+            done.add("fact " + entry.payload());
         }
 
         @Override
@@ -91,7 +91,7 @@
         }
     }
 
-    private static ShardEvent.Received fact(int version) {
+    private static ShardEvent.Received entry(int version) {
         return new ShardEvent.Received("n2", new ShardMessage.Entries(false,
                 List.of(new Entry(new Entry.Key("load", "n2", "n2"), 1, version, "v" + version, 0))));
     }
@@ -114,22 +114,22 @@
         lane.offer(new ShardEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
         run();
         lane.offer(new ShardEvent.Propose(new Order.Key("exclusion", "t"), "o1", "", "{}"));
-        lane.offer(fact(1), 10);
-        lane.offer(fact(2), 10);
+        lane.offer(entry(1), 10);
+        lane.offer(entry(2), 10);
         run();
         done.clear();
         lane.listen(new Outlet(Runnable::run, new Heard()), topic -> 10_000_000);
-        lane.offer(fact(3), 10);
+        lane.offer(entry(3), 10);
         run();
         assertThat(done).containsExactly("stands {}", "fact v2", "fact v3");
     }
 
     @Test
-    void factsHaveGrownOlderByWhatTheyWaited() {
-        lane.offer(fact(1), 10);
+    void entriesAgeByTheTimeThatTheyWaited() {
+        lane.offer(entry(1), 10);
         run();
         long at = lane.entries("load").get(0).ageUs();
-        lane.offer(fact(2), 10);
+        lane.offer(entry(2), 10);
         // No longer than what the shard itself takes for a stop, for which it counts once more.
         nowUs += 90_000;
         run();
@@ -139,15 +139,15 @@
     @Test
     void noMoreMessagesWaitThanTheBoundAndRoomIsGivenBack() {
         for (int i = 0; i <= ShardLane.MOST_MESSAGES; i++) {
-            lane.offer(fact(i), 10);
+            lane.offer(entry(i), 10);
         }
         assertThat(counters.get("dropped_shard_full")).isOne();
         run();
-        lane.offer(fact(1), ShardLane.MOST_BYTES);
-        lane.offer(fact(2), 1);
+        lane.offer(entry(1), ShardLane.MOST_BYTES);
+        lane.offer(entry(2), 1);
         assertThat(counters.get("dropped_shard_full")).isEqualTo(2);
         run();
-        lane.offer(fact(3), ShardLane.MOST_BYTES);
+        lane.offer(entry(3), ShardLane.MOST_BYTES);
         assertThat(counters.get("dropped_shard_full")).isEqualTo(2);
     }
 
@@ -158,8 +158,8 @@
         }, new Heard()), topic -> 10_000_000);
         lane.listen(new Outlet(Runnable::run, new FailsOnce()), topic -> 10_000_000);
         run();
-        lane.offer(fact(1), 10);
-        lane.offer(fact(2), 10);
+        lane.offer(entry(1), 10);
+        lane.offer(entry(2), 10);
         run();
         assertThat(done).containsSubsequence("failed", "fact v2").doesNotContain("fact v1");
     }
@@ -169,13 +169,13 @@
         private boolean failed;
 
         @Override
-        public void entryReceived(Entry fact) {
+        public void entryReceived(Entry entry) {
             if (!failed) {
                 failed = true;
                 done.add("failed");
                 throw new IllegalStateException("the test's");
             }
-            heard.entryReceived(fact);
+            heard.entryReceived(entry);
         }
 
         @Override
--- a/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
@@ -270,10 +270,10 @@
             reported.acting().rivals().forEach(this::checkDecided);
             view.effectiveOrders.put(reported.key(), reported.acting());
         } else if (action instanceof ShardAction.EntryReceived reported) {
-            if (reported.fact().payload() == null) {
-                view.freshEntries.remove(reported.fact().key());
+            if (reported.entry().payload() == null) {
+                view.freshEntries.remove(reported.entry().key());
             } else {
-                view.freshEntries.put(reported.fact().key(), reported.fact());
+                view.freshEntries.put(reported.entry().key(), reported.entry());
             }
         } else if (action instanceof ShardAction.EntryStale reported) {
             view.freshEntries.remove(reported.key());
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -256,7 +256,7 @@
                 json.set("silent", Config.JSON.valueToTree(found.silent()));
             }
             ArrayNode entries = json.putArray("facts");
-            for (Entry entry : found.facts()) {
+            for (Entry entry : found.entries()) {
                 ObjectNode entryJson = entries.addObject().put("subject", entry.key().subject()).put("writer", entry.key().writer());
                 entryJson.set("payload", parsePayload(entry.payload()));
                 entryJson.put("age_ms", entry.ageUs() / 1_000).put("stale", entry.ageUs() > boundUs);
