--- a/fleet/src/main/java/walkpost/fleet/FleetException.java
+++ b/fleet/src/main/java/walkpost/fleet/FleetException.java
@@ -54,7 +54,8 @@
 
         /** Names the directory, or the file in it, and the reason. */
         public BadDirectory(String path, String reason) {
-            super(path + ": " + reason, "free space, mend its rights, or give this member an empty directory: it catches up from the others");
+            super(path + ": " + reason,
+                    "free space, mend its rights, or give this member an empty directory: it catches up from the others");
         }
     }
 
--- a/fleet/src/main/java/walkpost/fleet/copy/Acceptor.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Acceptor.java
@@ -32,8 +32,10 @@
             return declined(proposal, ShardMessage.DeclineReason.NOT_LEVEL, "", null);
         }
         Slot slot = slotStore.slot(order.key());
-        if (!new TreeSet<>(order.replaces()).equals(new TreeSet<>(SlotMerge.headIds(slot))) || order.version() != SlotMerge.nextVersion(slot)) {
-            return declined(proposal, ShardMessage.DeclineReason.OVERTAKEN, SlotMerge.describe(slot), last(SlotMerge.split(slot, order.id())));
+        if (!new TreeSet<>(order.replaces()).equals(new TreeSet<>(SlotMerge.headIds(slot)))
+                || order.version() != SlotMerge.nextVersion(slot)) {
+            return declined(proposal, ShardMessage.DeclineReason.OVERTAKEN, SlotMerge.describe(slot),
+                    last(SlotMerge.split(slot, order.id())));
         }
         if (order.payload() == null && !SlotMerge.isRemoved(slot) && slotStore.isRemovalMemoryFull()) {
             return declined(proposal, ShardMessage.DeclineReason.FULL, "", null);
--- a/fleet/src/main/java/walkpost/fleet/copy/EntryStore.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/EntryStore.java
@@ -67,7 +67,9 @@
 
     /** Writes an entry of this member and returns its key, or null if a part of it is too long, so that it is refused. */
     Entry.Key write(long nowUs, String topic, String subject, String payload) {
-        if (MessageSizes.utf8Length(topic) > MessageSizes.TOPIC || MessageSizes.utf8Length(subject) > MessageSizes.SUBJECT || MessageSizes.utf8Length(payload) > MessageSizes.FACT) {
+        if (MessageSizes.utf8Length(topic) > MessageSizes.MAX_TOPIC_BYTES
+                || MessageSizes.utf8Length(subject) > MessageSizes.MAX_SUBJECT_BYTES
+                || MessageSizes.utf8Length(payload) > MessageSizes.MAX_ENTRY_PAYLOAD_BYTES) {
             counters.increment("facts.too_long");
             return null;
         }
@@ -84,7 +86,8 @@
      */
     void receive(long nowUs, Entry entry, boolean gossip, Outbox out) {
         if (entry.incarnation() < 0 || entry.incarnation() > LIMIT || entry.version() < 0 || entry.version() > LIMIT || entry.ageUs() < 0
-                || entry.ageUs() > CatchUpState.NEVER_US || MessageSizes.utf8Length(entry.payload()) > MessageSizes.FACT) {
+                || entry.ageUs() > CatchUpState.NEVER_US
+                || MessageSizes.utf8Length(entry.payload()) > MessageSizes.MAX_ENTRY_PAYLOAD_BYTES) {
             counters.increment("facts.refused");
             return;
         }
@@ -165,7 +168,8 @@
     ShardMessage.EntryDigest digest(Entry.Key key) {
         StoredEntry stored = entries.get(key);
         return stored == null ? null
-                : new ShardMessage.EntryDigest(key, stored.entry.incarnation(), stored.entry.version(), KeyHash.hash(stored.entry.payload()));
+                : new ShardMessage.EntryDigest(key, stored.entry.incarnation(), stored.entry.version(),
+                        KeyHash.hash(stored.entry.payload()));
     }
 
     /** Returns whether the entry that another member holds is newer than the one here, or differs from it under the same version. */
--- a/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
@@ -151,14 +151,15 @@
 
     private void check(ShardEvent.Propose call, Slot slot, Order known) throws FleetException {
         String problem = null;
-        if (call.id() == null || call.id().isBlank() || MessageSizes.utf8Length(call.id()) > MessageSizes.ID) {
-            problem = "an order needs an id of 1 to " + MessageSizes.ID + " bytes";
-        } else if (call.key().topic().isBlank() || MessageSizes.utf8Length(call.key().topic()) > MessageSizes.TOPIC) {
-            problem = "an order needs a topic of 1 to " + MessageSizes.TOPIC + " bytes";
-        } else if (call.key().subject().isBlank() || MessageSizes.utf8Length(call.key().subject()) > MessageSizes.SUBJECT) {
-            problem = "an order needs a subject of 1 to " + MessageSizes.SUBJECT + " bytes";
-        } else if (MessageSizes.utf8Length(call.payload()) > MessageSizes.PAYLOAD) {
-            problem = "the payload of an order has at most " + MessageSizes.PAYLOAD + " bytes, found " + MessageSizes.utf8Length(call.payload());
+        if (call.id() == null || call.id().isBlank() || MessageSizes.utf8Length(call.id()) > MessageSizes.MAX_ORDER_ID_BYTES) {
+            problem = "an order needs an id of 1 to " + MessageSizes.MAX_ORDER_ID_BYTES + " bytes";
+        } else if (call.key().topic().isBlank() || MessageSizes.utf8Length(call.key().topic()) > MessageSizes.MAX_TOPIC_BYTES) {
+            problem = "an order needs a topic of 1 to " + MessageSizes.MAX_TOPIC_BYTES + " bytes";
+        } else if (call.key().subject().isBlank() || MessageSizes.utf8Length(call.key().subject()) > MessageSizes.MAX_SUBJECT_BYTES) {
+            problem = "an order needs a subject of 1 to " + MessageSizes.MAX_SUBJECT_BYTES + " bytes";
+        } else if (MessageSizes.utf8Length(call.payload()) > MessageSizes.MAX_ORDER_PAYLOAD_BYTES) {
+            problem = "the payload of an order has at most " + MessageSizes.MAX_ORDER_PAYLOAD_BYTES + " bytes, found "
+                    + MessageSizes.utf8Length(call.payload());
         } else if (call.payload() != null && call.payload().indexOf('\n') >= 0) {
             problem = "the payload of an order is one line of JSON, found a line break";
         } else if (known != null && !(known.key().equals(call.key()) && Objects.equals(known.payload(), call.payload()))) {
@@ -184,7 +185,8 @@
         if (call.payload() == null && slotStore.isRemovalMemoryFull()) {
             throw removalMemoryFull();
         }
-        return new Order(call.key(), call.id(), SlotMerge.nextVersion(slot), inForce, call.payload(), SlotMerge.effectiveOrder(slot).payload(), self);
+        return new Order(call.key(), call.id(), SlotMerge.nextVersion(slot), inForce, call.payload(),
+                SlotMerge.effectiveOrder(slot).payload(), self);
     }
 
     /** Carries out step 1: proposes the order to all configured members, this one first. */
@@ -257,7 +259,8 @@
             return new FleetException.Overtaken(id, SlotMerge.describe(slot));
         }
         Collection<ShardMessage.Declined> firmlyDeclined = new ArrayList<>(proposal.declinedBy.values());
-        firmlyDeclined.removeIf(declined -> declined.why() != ShardMessage.DeclineReason.BUSY && declined.why() != ShardMessage.DeclineReason.FULL);
+        firmlyDeclined.removeIf(declined -> declined.why() != ShardMessage.DeclineReason.BUSY
+                && declined.why() != ShardMessage.DeclineReason.FULL);
         if (firmlyDeclined.size() <= peers.configuredSize() - peers.majority()) {
             return null;
         }
--- a/fleet/src/main/java/walkpost/fleet/copy/Shard.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Shard.java
@@ -10,9 +10,9 @@
 import walkpost.fleet.member.Life;
 
 /**
- * This member's replica of one shard of the fleet's state: the entries and orders whose keys {@link KeyHash#shardOf} maps to the shard. Each
- * component owns one part of the state; this class passes events to the components and owns what has been reported to the process. See
- * {@code docs/fleet.md}.
+ * This member's replica of one shard of the fleet's state: the entries and orders whose keys {@link KeyHash#shardOf} maps to the shard.
+ * Each component owns one part of the state; this class passes events to the components and owns what has been reported to the process.
+ * See {@code docs/fleet.md}.
  *
  * <p>Not thread-safe: the read methods need the same lock as {@link #handle}. The values that they return are immutable or copies.
  */
--- a/fleet/src/main/java/walkpost/fleet/copy/SlotMerge.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/SlotMerge.java
@@ -136,7 +136,7 @@
      * is one.
      */
     public static List<Slot> split(Slot slot, String lastId) {
-        if (slot.heads().size() < 2 || MessageSizes.bytesOf(slot) <= MessageSizes.MESSAGE) {
+        if (slot.heads().size() < 2 || MessageSizes.bytesOf(slot) <= MessageSizes.MAX_MESSAGE_BYTES) {
             return List.of(slot);
         }
         Order lastHead = findHead(slot, lastId) == null ? slot.heads().get(0) : findHead(slot, lastId);
--- a/fleet/src/main/java/walkpost/fleet/observe/Comparing.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Comparing.java
@@ -75,7 +75,8 @@
         for (Order.Key key : asked.keys().subList(0, Math.min(MOST_KEYS, asked.keys().size()))) {
             slots.addAll(SlotMerge.split(table.slot(key), null));
         }
-        MessageSizes.split(slots, MessageSizes::bytesOf).forEach(part -> send.to(from, new ObserveMessage.Slots(asked.seq(), awayUs, part)));
+        MessageSizes.split(slots, MessageSizes::bytesOf)
+                .forEach(part -> send.to(from, new ObserveMessage.Slots(asked.seq(), awayUs, part)));
     }
 
     /** Returns those offered slots that hold more than this voter's; where it is the voter's that hold more, the observer gets them. */
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedAction.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedAction.java
@@ -13,7 +13,7 @@
     /** Give the shard that this key lies in an order ({@link walkpost.fleet.copy.ShardEvent.Propose}), and the feed what comes of it. */
     record Propose(Order.Key key, String id, String replaces, String payload) implements FeedAction { }
 
-    /** Give these slots to the shards that they lie in ({@link walkpost.fleet.copy.ShardEvent.SlotsOffered}): an observer had more of them. */
+    /** Offers these slots to their shards (a {@code ShardEvent.SlotsOffered}), because an observer has orders that the voter lacks. */
     record Offer(List<Slot> slots) implements FeedAction {
         public Offer {
             slots = List.copyOf(slots);
--- a/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
@@ -29,7 +29,9 @@
 
     void write(long nowUs, String topic, String subject, String payload) {
         var key = new Entry.Key(topic, subject, self.name());
-        if (MessageSizes.utf8Length(topic) > MessageSizes.TOPIC || MessageSizes.utf8Length(subject) > MessageSizes.SUBJECT || MessageSizes.utf8Length(payload) > MessageSizes.FACT
+        if (MessageSizes.utf8Length(topic) > MessageSizes.MAX_TOPIC_BYTES
+                || MessageSizes.utf8Length(subject) > MessageSizes.MAX_SUBJECT_BYTES
+                || MessageSizes.utf8Length(payload) > MessageSizes.MAX_ENTRY_PAYLOAD_BYTES
                 || !entries.containsKey(key) && entries.size() >= MOST) {
             counts.count("facts.refused");
             return;
--- a/fleet/src/main/java/walkpost/fleet/observe/Reports.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Reports.java
@@ -29,7 +29,7 @@
     void take(long nowUs, String from, List<Entry> entries) {
         for (Entry entry : entries) {
             boolean wrong = !entry.key().writer().equals(from) || entry.ageUs() < 0 || entry.ageUs() > Observer.NEVER_US
-                    || MessageSizes.utf8Length(entry.payload()) > MessageSizes.FACT;
+                    || MessageSizes.utf8Length(entry.payload()) > MessageSizes.MAX_ENTRY_PAYLOAD_BYTES;
             Map<Entry.Key, ReportedEntry> own = wrong ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
             if (wrong || !own.containsKey(entry.key()) && own.size() >= OwnEntries.MOST) {
                 counts.count("facts.refused");
--- a/fleet/src/main/java/walkpost/fleet/shell/Ages.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Ages.java
@@ -14,7 +14,8 @@
     private Ages() { }
 
     static ShardMessage aged(ShardMessage message, long waitedUs) {
-        return message instanceof ShardMessage.Entries told ? new ShardMessage.Entries(told.fetched(), aged(told.facts(), waitedUs)) : message;
+        return message instanceof ShardMessage.Entries told
+                ? new ShardMessage.Entries(told.fetched(), aged(told.facts(), waitedUs)) : message;
     }
 
     static ObserveMessage aged(ObserveMessage message, long waitedUs) {
--- a/fleet/src/main/java/walkpost/fleet/shell/Desk.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Desk.java
@@ -35,7 +35,8 @@
             if (ended) {
                 return CompletableFuture.completedFuture(new TopicEntries(List.of(), voters));
             }
-            entries.put(inquiries.askEntries(clock.nowUs(), topic, voters, (to, message) -> out.add(() -> sender.accept(to, message))), answer);
+            entries.put(inquiries.askEntries(clock.nowUs(), topic, voters,
+                    (to, message) -> out.add(() -> sender.accept(to, message))), answer);
         }
         out.forEach(Runnable::run);
         return answer;
--- a/fleet/src/main/java/walkpost/fleet/shell/VotingPart.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/VotingPart.java
@@ -281,7 +281,8 @@
 
     @Override
     public CompletionStage<Coverage> held(Order.Key key, String id) {
-        return feed == null ? CompletableFuture.failedFuture(new BadCall("all members of this fleet vote: nobody counts who holds an order"))
+        return feed == null
+                ? CompletableFuture.failedFuture(new BadCall("all members of this fleet vote: nobody counts who holds an order"))
                 : feed.held(key, id);
     }
 
--- a/fleet/src/test/java/walkpost/fleet/copy/AcceptorTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/AcceptorTest.java
@@ -75,7 +75,8 @@
         notCaughtUp.advanceClock(0);
         notCaughtUp.update(0);
         Order order = new Order(KEY, "x", 1, List.of(), "1", null, A);
-        ShardMessage answer = new Acceptor(settings, notCaughtUp, slotStore).answerProposal(1, new ShardMessage.Propose(1, order, Slot.empty(KEY)));
+        ShardMessage answer = new Acceptor(settings, notCaughtUp, slotStore)
+                .answerProposal(1, new ShardMessage.Propose(1, order, Slot.empty(KEY)));
         assertThat(answer).isEqualTo(new ShardMessage.Declined(1, "x", ShardMessage.DeclineReason.NOT_LEVEL, "", null));
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/OrdersTest.java
@@ -299,9 +299,9 @@
     @Test
     void ordersOfTheGreatestSizeAndTheirRivalsFitIntoMessages() {
         ShardCluster cluster = caughtUp(3);
-        String payload = "\u00e9".repeat(MessageSizes.PAYLOAD / 2);
+        String payload = "\u00e9".repeat(MessageSizes.MAX_ORDER_PAYLOAD_BYTES / 2);
         for (int i = 0; i < 70; i++) {
-            cluster.node("a").order(PLACEMENT, "x".repeat(MessageSizes.ID - 2) + (10 + i), null, payload);
+            cluster.node("a").order(PLACEMENT, "x".repeat(MessageSizes.MAX_ORDER_ID_BYTES - 2) + (10 + i), null, payload);
             cluster.run(10);
         }
         assertThat(cluster.node("a").acknowledged).hasSize(70);
--- a/fleet/src/test/java/walkpost/fleet/copy/SlotMergeTest.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/SlotMergeTest.java
@@ -53,7 +53,8 @@
     }
 
     private static Order order(String id, Slot on, String payload) {
-        return new Order(KEY, id, SlotMerge.nextVersion(on), SlotMerge.headIds(on), payload, SlotMerge.effectiveOrder(on).payload(), new Life("a", 1));
+        return new Order(KEY, id, SlotMerge.nextVersion(on), SlotMerge.headIds(on), payload,
+                SlotMerge.effectiveOrder(on).payload(), new Life("a", 1));
     }
 
     /** Returns the first law that a join breaks, or null if it keeps them all. */
@@ -165,7 +166,7 @@
                     new Life("a", 1))), Map.of(), 2));
         }
         List<Slot> parts = SlotMerge.split(slot, "r4");
-        assertThat(parts).hasSize(9).allMatch(part -> MessageSizes.bytesOf(part) < MessageSizes.MESSAGE);
+        assertThat(parts).hasSize(9).allMatch(part -> MessageSizes.bytesOf(part) < MessageSizes.MAX_MESSAGE_BYTES);
         assertThat(SlotMerge.headIds(parts.get(8))).containsExactly("r4");
         assertThat(parts.stream().reduce(Slot.empty(KEY), SlotMerge::join)).isEqualTo(slot);
     }
--- a/fleet/src/test/java/walkpost/fleet/sim/Node.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Node.java
@@ -128,7 +128,8 @@
     /** Delivers a message to a shard of this node that no member has sent. */
     void deliverForged(int shard, String from, ShardMessage message) {
         Process reader = process;
-        time.after(SimClock.MILLI_US, () -> reader.receive(() -> reader.replicas.get(shard).handle(new ShardEvent.Received(from, message))));
+        time.after(SimClock.MILLI_US, () -> reader.receive(
+                () -> reader.replicas.get(shard).handle(new ShardEvent.Received(from, message))));
     }
 
     /** Returns the total time for which processes of this node were suspended, by its clock. */
--- a/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
@@ -78,7 +78,8 @@
         @Override
         List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
             if (action instanceof ShardAction.Send send && send.message() instanceof ShardMessage.CompareRoots request) {
-                node.deliverForged(shard, send.to(), new ShardMessage.NodeHashes(request.round(), request.awayUs(), new long[0], new long[0]));
+                node.deliverForged(shard, send.to(),
+                        new ShardMessage.NodeHashes(request.round(), request.awayUs(), new long[0], new long[0]));
             }
             return List.of(action);
         }
@@ -143,7 +144,8 @@
         List<ObserverAction> replaceAction(Node node, ObserverAction action) {
             List<ObserverAction> all = new ArrayList<>(List.of(action));
             if (action instanceof ObserverAction.Send send && send.message() instanceof ObserveMessage.Taken) {
-                lastPushed.get(node).forEach(slot -> all.add(new ObserverAction.EffectiveOrderChanged(slot.key(), SlotMerge.effectiveOrder(slot))));
+                lastPushed.get(node).forEach(slot -> all.add(
+                        new ObserverAction.EffectiveOrderChanged(slot.key(), SlotMerge.effectiveOrder(slot))));
             }
             return all;
         }
