--- a/fleet/src/main/java/walkpost/fleet/copy/Acceptor.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Acceptor.java
@@ -46,7 +46,7 @@
             return declined(proposal, ShardMessage.DeclineReason.BUSY, promise.id(), null);
         }
         if (promise == null || promise.round() != proposal.round()) {
-            promises.put(order.key(), new Promise(order.issuer(), proposal.round(), order.id(), nowUs + settings.promiseUs()));
+            promises.put(order.key(), new Promise(order.issuer(), proposal.round(), order.id(), nowUs + settings.promiseDurationUs()));
         }
         return new ShardMessage.Promised(proposal.round(), order.id());
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/AntiEntropyRequester.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/AntiEntropyRequester.java
@@ -72,7 +72,7 @@
     void tick(long nowUs, Outbox out) {
         if (nowUs >= nextUs) {
             // The jitter keeps members that started together from comparing at the same moments for ever.
-            nextUs = nowUs + settings.compareUs() - peers.drawTimeUs(Math.max(1, settings.compareUs() / 8));
+            nextUs = nowUs + settings.comparisonPeriodUs() - peers.drawTimeUs(Math.max(1, settings.comparisonPeriodUs() / 8));
             lastRequest.keySet().removeIf(name -> !peers.isAlive(name));
             // The last one is drawn from all living members, so that entries of members that are not configured are found as well.
             List<String> drawn = peers.drawAlive(1);
@@ -173,7 +173,7 @@
      */
     private Set<String> membersToAsk() {
         List<String> candidates = new ArrayList<>(peers.aliveOthers().stream().filter(peers::isConfigured).toList());
-        long periods = Math.max(1, settings.silenceUs() / settings.compareUs() - 1);
+        long periods = Math.max(1, settings.silenceUs() / settings.comparisonPeriodUs() - 1);
         int count = (int) ((peers.othersForMajority() + periods - 1) / periods) * (catchUpState.isCaughtUp() ? 1 : 2);
         Set<String> chosen = new LinkedHashSet<>();
         candidates.sort(Comparator.comparingLong(name -> lastRequest.getOrDefault(name, 0L)));
--- a/fleet/src/main/java/walkpost/fleet/copy/CatchUpState.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/CatchUpState.java
@@ -15,8 +15,9 @@
     static final long NEVER_US = Long.MAX_VALUE / 4;
 
     /**
-     * A step of the clock above gapUs divided by this number counts as a pause, during which arriving messages may have waited in a
-     * socket. The ages of entries are upper bounds, so that adding a pause too many is correct, and one too few is not.
+     * A step of the clock above {@link ShardSettings#maxClockStepUs} divided by this number counts as a pause, during which arriving
+     * messages may have waited in a socket. The ages of entries are upper bounds, so that adding a pause too many is correct, and adding
+     * one too few is not.
      */
     private static final long PAUSES_PER_GAP = 10;
 
@@ -54,14 +55,14 @@
         if (caughtUp) {
             lastCaughtUpUs = nowUs - stepUs;
         }
-        if (stepUs > settings.gapUs() / PAUSES_PER_GAP) {
-            boolean followsPause = nowUs - stepUs - pauseEndUs <= settings.gapUs();
+        if (stepUs > settings.maxClockStepUs() / PAUSES_PER_GAP) {
+            boolean followsPause = nowUs - stepUs - pauseEndUs <= settings.maxClockStepUs();
             // Suspensions in a row add up, because few messages may have been read between them. Short pauses do not add up, because
             // then the ages on a member that is merely slow would grow for ever.
-            pauseUs = !followsPause ? stepUs : stepUs > settings.gapUs() ? pauseUs + stepUs : Math.max(pauseUs, stepUs);
+            pauseUs = !followsPause ? stepUs : stepUs > settings.maxClockStepUs() ? pauseUs + stepUs : Math.max(pauseUs, stepUs);
             pauseEndUs = nowUs;
         }
-        if (stepUs <= settings.gapUs()) {
+        if (stepUs <= settings.maxClockStepUs()) {
             return false;
         }
         counters.increment("touch.stood_still");
@@ -106,7 +107,7 @@
         // An old comparison does not count: the member may have been silent since then.
         comparedAtUs.values().removeIf(at -> nowUs - at > settings.silenceUs());
         boolean alone = peers.configuredSize() == 1 && peers.othersForMajority() == 0;
-        boolean promisesExpired = alone || nowUs - startUs > settings.promiseUs();
+        boolean promisesExpired = alone || nowUs - startUs > settings.promiseDurationUs();
         caughtUp = hearsMajority && promisesExpired && comparedAtUs.size() >= peers.othersForMajority();
         return caughtUp;
     }
@@ -133,7 +134,7 @@
 
     /** Returns the time to add to the ages of arriving entries, because they may have waited in a socket while this member was paused. */
     long possibleDelayUs(long nowUs) {
-        return nowUs - pauseEndUs <= settings.gapUs() ? pauseUs : 0;
+        return nowUs - pauseEndUs <= settings.maxClockStepUs() ? pauseUs : 0;
     }
 
     private void fallBehind() {
--- a/fleet/src/main/java/walkpost/fleet/copy/FetchQueue.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/FetchQueue.java
@@ -87,8 +87,8 @@
      */
     void sendRequests(long nowUs, Outbox out, BiConsumer<ShardMessage.SlotDigest, Set<String>> abandoned) {
         // The burst is limited to the tokens of a tenth of a second, because a larger one would defeat the rate limit.
-        double burst = Math.max(1, settings.fetchPerSecond() / 10.0);
-        tokens = Math.min(burst, tokens + settings.fetchPerSecond() * (nowUs - refilledUs) / 1e6);
+        double burst = Math.max(1, settings.fetchesPerSecond() / 10.0);
+        tokens = Math.min(burst, tokens + settings.fetchesPerSecond() * (nowUs - refilledUs) / 1e6);
         refilledUs = nowUs;
         Map<String, List<Order.Key>> slotsBySource = new TreeMap<>();
         for (Map.Entry<ShardMessage.SlotDigest, Fetch> each : List.copyOf(slots.entrySet())) {
--- a/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
@@ -75,7 +75,7 @@
             }
             Order known = SlotMerge.findHead(slot, call.id());
             if (known != null) {
-                commit(nowUs, known, nowUs + settings.answerUs(), out);
+                commit(nowUs, known, nowUs + settings.answerTimeoutUs(), out);
                 return;
             }
             Order order = create(call, slot);
@@ -132,7 +132,7 @@
             if (!proposal.decided && known != null && Objects.equals(known.payload(), proposal.order.payload())) {
                 // The order was decided in an earlier round or by another member, and this member has learnt of it since.
                 releasePromises(proposal, out);
-                commit(nowUs, known, proposal.deadlineUs + settings.answerUs(), out);
+                commit(nowUs, known, proposal.deadlineUs + settings.answerTimeoutUs(), out);
                 continue;
             }
             if (!proposal.decided) {
@@ -191,7 +191,7 @@
 
     /** Carries out step 1: proposes the order to all configured members, this one first. */
     private void start(long nowUs, Order order, Slot slot, Outbox out) throws FleetException {
-        Proposal proposal = new Proposal(order, ++lastRound, false, nowUs, nowUs + settings.answerUs());
+        Proposal proposal = new Proposal(order, ++lastRound, false, nowUs, nowUs + settings.answerTimeoutUs());
         ShardMessage ownAnswer = acceptor.answerProposal(nowUs, new ShardMessage.Propose(proposal.round, order, slot));
         if (ownAnswer instanceof ShardMessage.Declined declined) {
             throw declined.why() == ShardMessage.DeclineReason.BUSY ? new FleetException.Busy(order.id(), declined.other())
@@ -221,7 +221,7 @@
             acceptor.releaseDecided(proposal.order.key(), proposal.order.id());
             slotStore.storeDecided(nowUs, proposal.order);
             counters.increment("orders.decided");
-            commit(nowUs, proposal.order, proposal.deadlineUs + settings.answerUs(), out);
+            commit(nowUs, proposal.order, proposal.deadlineUs + settings.answerTimeoutUs(), out);
         }
     }
 
@@ -299,6 +299,6 @@
     }
 
     private FleetException removalMemoryFull() {
-        return new FleetException.Full("removed keys remembered in one shard", settings.removals());
+        return new FleetException.Full("removed keys remembered in one shard", settings.maxRemovedKeys());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Shard.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Shard.java
@@ -44,7 +44,7 @@
             throw new IllegalArgumentException("configured is empty, expected the name of at least one member");
         }
         this.settings = settings;
-        peers = new PeerSet(self.name(), configured, settings.compareUs(), seed);
+        peers = new PeerSet(self.name(), configured, settings.comparisonPeriodUs(), seed);
         catchUpState = new CatchUpState(settings, peers, counters);
         slotStore = new SlotStore(settings, counters);
         gossip = new EntryGossip(settings, peers);
@@ -219,7 +219,7 @@
 
     private static boolean isOutdated(long newerAwayUs, long olderAwayUs, ShardSettings settings) {
         // Half the duration for which removals are remembered leaves room for the ages that differ between members.
-        return olderAwayUs - newerAwayUs > settings.removalUs() / 2;
+        return olderAwayUs - newerAwayUs > settings.removedKeyRetentionUs() / 2;
     }
 
     private void updateCaughtUp(long nowUs) {
--- a/fleet/src/main/java/walkpost/fleet/copy/ShardAction.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/ShardAction.java
@@ -29,13 +29,13 @@
     record Refused(String id, FleetException why) implements ShardAction { }
 
     /** Reports a change of the order in effect for a key. Emitted only while this member is caught up. */
-    record EffectiveOrderChanged(Order.Key key, EffectiveOrder acting) implements ShardAction { }
+    record EffectiveOrderChanged(Order.Key key, EffectiveOrder order) implements ShardAction { }
 
     /** Reports a new entry of another member; its payload is null if the entry was withdrawn. */
     record EntryReceived(Entry entry) implements ShardAction { }
 
     /** Reports that this shard has caught up with a majority, or can no longer be sure of it. */
-    record CaughtUpChanged(boolean level) implements ShardAction { }
+    record CaughtUpChanged(boolean caughtUp) implements ShardAction { }
 
     /** Reports that an entry is older than its topic's bound, so that its users fall back. The owner logs it. */
     record EntryStale(Entry.Key key, long ageUs) implements ShardAction { }
--- a/fleet/src/main/java/walkpost/fleet/copy/ShardSettings.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/ShardSettings.java
@@ -5,33 +5,38 @@
 /**
  * The settings of a {@link Shard}. All members of a fleet need the same values.
  *
- * @param promiseUs how long a member reserves a slot for one order
- * @param answerUs how long a coordinator waits for a majority in each of its two phases, which together are shorter than a promise
- * @param fanOut how many members an entry is sent to in each round of gossip
- * @param compareUs the period of comparisons with other members
+ * @param promiseDurationUs how long a member reserves a slot for one order
+ * @param answerTimeoutUs how long a coordinator waits for a majority in each of its two phases; both together are shorter than a promise
+ * @param gossipFanOut how many members an entry is sent to in each round of gossip
+ * @param comparisonPeriodUs the period of comparisons with other members
  * @param silenceUs a member that has not heard from a majority for this long is no longer caught up
- * @param gapUs a member whose clock advances by more than this between two events was suspended, and is no longer caught up
- * @param fetchPerSecond how many slots and entries a member fetches per second while it catches up
- * @param boundsUs the age at which entries become stale, by topic
- * @param boundUs the same for all other topics
- * @param removals how many removed keys a shard remembers at most
- * @param removalUs how long it remembers each removed key
+ * @param maxClockStepUs a member whose clock advances by more than this between two events was suspended, and is no longer caught up
+ * @param fetchesPerSecond how many slots and entries a member fetches per second while it catches up
+ * @param stalenessBoundsUs the age at which entries become stale, by topic
+ * @param otherStalenessBoundUs the same for all other topics
+ * @param maxRemovedKeys how many removed keys a shard remembers at most
+ * @param removedKeyRetentionUs how long it remembers each removed key
  */
-public record ShardSettings(long promiseUs, long answerUs, int fanOut, long compareUs, long silenceUs, long gapUs, int fetchPerSecond,
-        Map<String, Long> boundsUs, long boundUs, int removals, long removalUs) {
+public record ShardSettings(long promiseDurationUs, long answerTimeoutUs, int gossipFanOut, long comparisonPeriodUs, long silenceUs,
+        long maxClockStepUs, int fetchesPerSecond, Map<String, Long> stalenessBoundsUs, long otherStalenessBoundUs, int maxRemovedKeys,
+        long removedKeyRetentionUs) {
     private static final long SECOND_US = 1_000_000;
 
     /** Throws an {@link IllegalArgumentException} that names the setting that is out of range or contradicts another. */
     public ShardSettings {
-        boundsUs = Map.copyOf(boundsUs);
-        check(answerUs > 0, "answerUs must be above zero");
-        check(promiseUs > 2 * answerUs, "promiseUs must be above twice answerUs: a promise has to outlast both phases of its coordinator");
-        check(fanOut > 0, "fanOut must be above zero");
-        check(compareUs > 0 && silenceUs >= 2 * compareUs, "compareUs must be above zero, and silenceUs at least twice compareUs");
-        check(gapUs > 0 && gapUs <= silenceUs, "gapUs must be above zero and at most silenceUs");
-        check(fetchPerSecond > 0, "fetchPerSecond must be above zero");
-        check(boundUs > 0 && boundsUs.values().stream().allMatch(bound -> bound > 0), "boundUs and all boundsUs must be above zero");
-        check(removals > 0 && removalUs > silenceUs, "removals must be above zero, and removalUs above silenceUs");
+        stalenessBoundsUs = Map.copyOf(stalenessBoundsUs);
+        check(answerTimeoutUs > 0, "answerTimeoutUs must be above zero");
+        check(promiseDurationUs > 2 * answerTimeoutUs,
+                "promiseDurationUs must be above twice answerTimeoutUs: a promise has to outlast both phases of its coordinator");
+        check(gossipFanOut > 0, "gossipFanOut must be above zero");
+        check(comparisonPeriodUs > 0 && silenceUs >= 2 * comparisonPeriodUs,
+                "comparisonPeriodUs must be above zero, and silenceUs at least twice comparisonPeriodUs");
+        check(maxClockStepUs > 0 && maxClockStepUs <= silenceUs, "maxClockStepUs must be above zero and at most silenceUs");
+        check(fetchesPerSecond > 0, "fetchesPerSecond must be above zero");
+        check(otherStalenessBoundUs > 0 && stalenessBoundsUs.values().stream().allMatch(bound -> bound > 0),
+                "otherStalenessBoundUs and all stalenessBoundsUs must be above zero");
+        check(maxRemovedKeys > 0 && removedKeyRetentionUs > silenceUs,
+                "maxRemovedKeys must be above zero, and removedKeyRetentionUs above silenceUs");
     }
 
     /** Returns the settings that {@code docs/fleet.md} states, with a staleness bound of 10 s for all topics. */
@@ -42,19 +47,19 @@
 
     /** Returns these settings with other staleness bounds: by topic, and one for all other topics. */
     public ShardSettings withStalenessBounds(Map<String, Long> boundsByTopicUs, long otherBoundUs) {
-        return new ShardSettings(promiseUs, answerUs, fanOut, compareUs, silenceUs, gapUs, fetchPerSecond, boundsByTopicUs, otherBoundUs,
-                removals, removalUs);
+        return new ShardSettings(promiseDurationUs, answerTimeoutUs, gossipFanOut, comparisonPeriodUs, silenceUs, maxClockStepUs,
+                fetchesPerSecond, boundsByTopicUs, otherBoundUs, maxRemovedKeys, removedKeyRetentionUs);
     }
 
     /** Returns these settings with another bound and duration for the memory of removed keys. */
     public ShardSettings withRemovals(int maxKeys, long durationUs) {
-        return new ShardSettings(promiseUs, answerUs, fanOut, compareUs, silenceUs, gapUs, fetchPerSecond, boundsUs, boundUs,
-                maxKeys, durationUs);
+        return new ShardSettings(promiseDurationUs, answerTimeoutUs, gossipFanOut, comparisonPeriodUs, silenceUs, maxClockStepUs,
+                fetchesPerSecond, stalenessBoundsUs, otherStalenessBoundUs, maxKeys, durationUs);
     }
 
     /** Returns the age at which entries of the topic become stale. */
     public long stalenessBoundUs(String topic) {
-        return boundsUs.getOrDefault(topic, boundUs);
+        return stalenessBoundsUs.getOrDefault(topic, otherStalenessBoundUs);
     }
 
     private static void check(boolean valid, String requirement) {
--- a/fleet/src/main/java/walkpost/fleet/copy/SlotStore.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/SlotStore.java
@@ -56,7 +56,7 @@
         long ageUs = Math.max(removalAgeUs, 0);
         Slot mine = slot(other.key());
         boolean removal = SlotMerge.isRemoved(other);
-        if (mine.hasNoHistory() && removal && ageUs >= settings.removalUs()) {
+        if (mine.hasNoHistory() && removal && ageUs >= settings.removedKeyRetentionUs()) {
             return;
         }
         Slot joined = SlotMerge.join(mine, other);
@@ -88,7 +88,7 @@
 
     /** Returns whether the memory of removed keys is full. */
     boolean isRemovalMemoryFull() {
-        return removedAtUs.size() >= settings.removals();
+        return removedAtUs.size() >= settings.maxRemovedKeys();
     }
 
     /** Returns how long ago a key was removed, or zero if an order is in force for it. */
@@ -102,10 +102,10 @@
         if (nowUs < nextForgetUs) {
             return;
         }
-        nextForgetUs = nowUs + settings.compareUs();
+        nextForgetUs = nowUs + settings.comparisonPeriodUs();
         List<Order.Key> expired = new ArrayList<>();
         removedAtUs.forEach((key, since) -> {
-            if (nowUs - since >= settings.removalUs()) {
+            if (nowUs - since >= settings.removedKeyRetentionUs()) {
                 expired.add(key);
             }
         });
--- a/fleet/src/main/java/walkpost/fleet/observe/Feed.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Feed.java
@@ -84,7 +84,7 @@
             changed(nowUs, changed.slots(), send);
         } else if (event instanceof FeedEvent.CaughtUpChanged now) {
             levelUs = level ? nowUs : levelUs;
-            level = now.level();
+            level = now.caughtUp();
         } else if (event instanceof FeedEvent.Voters living) {
             others = new TreeSet<>(living.names().stream().filter(name -> voters.contains(name) && !name.equals(self)).toList());
         } else if (event instanceof FeedEvent.Acknowledged acknowledged) {
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
@@ -37,7 +37,7 @@
     }
 
     /** Whether all shards of this voter are level now. */
-    record CaughtUpChanged(boolean level) implements FeedEvent { }
+    record CaughtUpChanged(boolean caughtUp) implements FeedEvent { }
 
     /** An observer's order, handed to the shards by {@link FeedAction.Propose}, is acknowledged. */
     record Acknowledged(String id, Order order) implements FeedEvent { }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
@@ -11,10 +11,10 @@
     record Send(String to, ObserveMessage message) implements ObserverAction { }
 
     /** What stands for a key is this from now on. Comes once this copy was level for the first time, and then also while it is not. */
-    record EffectiveOrderChanged(Order.Key key, EffectiveOrder acting) implements ObserverAction { }
+    record EffectiveOrderChanged(Order.Key key, EffectiveOrder order) implements ObserverAction { }
 
     /** The copy equals a level voter's, or control has been out of reach for too long to say so. What stood last goes on. */
-    record CaughtUpChanged(boolean level) implements ObserverAction { }
+    record CaughtUpChanged(boolean caughtUp) implements ObserverAction { }
 
     /** How many observers live, by region, has changed; empty where that is no longer known. */
     record Lives(Map<String, Integer> byRegion) implements ObserverAction {
--- a/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
@@ -67,15 +67,15 @@
                 sender.send(send.to(), Ages.aged(send.message(), waitedUs));
             }
         } else if (action instanceof ObserverAction.EffectiveOrderChanged stands) {
-            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.acting()), () -> {
-                if (stands.acting().payload() == null && stands.acting().rivals().isEmpty()) {
+            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.order()), () -> {
+                if (stands.order().payload() == null && stands.order().rivals().isEmpty()) {
                     stood.remove(stands.key());
                 } else {
-                    stood.put(stands.key(), stands.acting());
+                    stood.put(stands.key(), stands.order());
                 }
             });
         } else if (action instanceof ObserverAction.CaughtUpChanged now) {
-            changed(now.level());
+            changed(now.caughtUp());
         } else if (action instanceof ObserverAction.Lives lives) {
             tell(listener -> listener.lives(lives.byRegion()), () -> toldLives = lives.byRegion());
         } else if (action instanceof ObserverAction.Acknowledged acknowledged) {
--- a/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
@@ -274,12 +274,12 @@
         } else if (due.action instanceof ShardAction.Refused refused) {
             surroundings.refused(refused.id(), refused.why());
         } else if (due.action instanceof ShardAction.EffectiveOrderChanged stands) {
-            if (stands.acting().payload() == null && stands.acting().rivals().isEmpty()) {
+            if (stands.order().payload() == null && stands.order().rivals().isEmpty()) {
                 stood.remove(stands.key());
             } else {
-                stood.put(stands.key(), stands.acting());
+                stood.put(stands.key(), stands.order());
             }
-            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.acting()));
+            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.order()));
         } else if (due.action instanceof ShardAction.EntryReceived heard) {
             topics.add(heard.entry().key().topic());
             tell(listener -> listener.entryReceived(heard.entry()));
@@ -287,8 +287,8 @@
             Entry.Key key = stale.key();
             Log.warn("fact_stale", "topic", key.topic(), "subject", key.subject(), "writer", key.writer(), "age_ms", stale.ageUs() / 1_000);
             tell(listener -> listener.stale(key));
-        } else if (due.action instanceof ShardAction.CaughtUpChanged level) {
-            surroundings.level(number, level.level());
+        } else if (due.action instanceof ShardAction.CaughtUpChanged caughtUp) {
+            surroundings.level(number, caughtUp.caughtUp());
         }
     }
 
--- a/fleet/src/test/java/walkpost/fleet/copy/ShardCluster.java
+++ b/fleet/src/test/java/walkpost/fleet/copy/ShardCluster.java
@@ -96,7 +96,7 @@
             } else if (action instanceof ShardAction.Refused failed) {
                 refused.put(failed.id(), failed.why());
             } else if (action instanceof ShardAction.EffectiveOrderChanged changed) {
-                effectiveOrders.computeIfAbsent(changed.key(), key -> new ArrayList<>()).add(changed.acting());
+                effectiveOrders.computeIfAbsent(changed.key(), key -> new ArrayList<>()).add(changed.order());
             } else if (action instanceof ShardAction.EntryReceived received) {
                 receivedEntries.add(received.entry());
             } else if (action instanceof ShardAction.EntryStale stale) {
--- a/fleet/src/test/java/walkpost/fleet/observe/World.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/World.java
@@ -138,7 +138,7 @@
         List<String> payloads = new ArrayList<>();
         for (ObserverAction action : told.get(observer)) {
             if (action instanceof ObserverAction.EffectiveOrderChanged stands && stands.key().equals(key)) {
-                payloads.add(stands.acting().payload());
+                payloads.add(stands.order().payload());
             }
         }
         return payloads;
--- a/fleet/src/test/java/walkpost/fleet/scale/Voter.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Voter.java
@@ -216,7 +216,7 @@
             } else if (action instanceof ShardAction.Persist persist) {
                 persist(persist.slots());
             } else if (action instanceof ShardAction.EffectiveOrderChanged stands) {
-                world().orders().stands(host(), stands.key(), stands.acting());
+                world().orders().stands(host(), stands.key(), stands.order());
             } else if (action instanceof ShardAction.CaughtUpChanged) {
                 levelMayHaveChanged();
             } else if (action instanceof ShardAction.Acknowledged done) {
--- a/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
@@ -89,7 +89,7 @@
             if (action instanceof ObserverAction.Send send) {
                 send(send.to(), send.message());
             } else if (action instanceof ObserverAction.EffectiveOrderChanged stands) {
-                world().orders().stands(host(), stands.key(), stands.acting());
+                world().orders().stands(host(), stands.key(), stands.order());
             } else if (action instanceof ObserverAction.Acknowledged done) {
                 world().orders().acknowledged(done.id(), done.order());
             } else if (action instanceof ObserverAction.Refused no) {
--- a/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
@@ -53,7 +53,7 @@
     private static final class Heard implements FleetListener {
         private record Waiting(Predicate<Object> of, CompletableFuture<Object> done) { }
 
-        private record Stands(Order.Key key, EffectiveOrder acting) { }
+        private record Stands(Order.Key key, EffectiveOrder order) { }
 
         private final List<Object> events = new ArrayList<>();
         private final List<Waiting> waiting = new ArrayList<>();
@@ -131,7 +131,7 @@
     }
 
     private static Predicate<Object> stands(String payload) {
-        return event -> event instanceof Heard.Stands stands && stands.key.equals(KEY) && payload.equals(stands.acting.payload());
+        return event -> event instanceof Heard.Stands stands && stands.key.equals(KEY) && payload.equals(stands.order.payload());
     }
 
     private static Predicate<Object> entry(String writer, String payload) {
--- a/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
@@ -70,11 +70,11 @@
     /** Checks an action that an observer's state machine has emitted. */
     void emitted(SimulatedObserver observer, ObserverAction action) {
         if (action instanceof ObserverAction.EffectiveOrderChanged reported) {
-            fleet.time.log("%s acts on %s: %s", name(observer), reported.key(), reported.acting());
-            checkOrder(observer, reported.key(), reported.acting());
+            fleet.time.log("%s acts on %s: %s", name(observer), reported.key(), reported.order());
+            checkOrder(observer, reported.key(), reported.order());
         } else if (action instanceof ObserverAction.CaughtUpChanged reported) {
-            fleet.time.log("%s caught up: %s", name(observer), reported.level());
-            if (reported.level()) {
+            fleet.time.log("%s caught up: %s", name(observer), reported.caughtUp());
+            if (reported.caughtUp()) {
                 checkConfirmed(observer);
                 checkHoldsAll(observer);
             }
--- a/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
@@ -166,7 +166,7 @@
      * one, the process has to catch up, and messages sent before its end do not count for that.
      */
     void suspended(Node.Process process, long durationUs) {
-        if (durationUs * MIN_CLOCK_RATE > SimulatedFleet.COPY.gapUs() + MAX_TICK_US) {
+        if (durationUs * MIN_CLOCK_RATE > SimulatedFleet.COPY.maxClockStepUs() + MAX_TICK_US) {
             for (Node.ShardReplica replica : process.replicas) {
                 replica.view.suspendedUntilUs = fleet.time.nowUs() + durationUs;
                 replica.view.heardFrom.clear();
@@ -248,8 +248,8 @@
         View view = replica.view;
         String name = replica.owner.node().name;
         if (action instanceof ShardAction.CaughtUpChanged reported) {
-            fleet.time.log("%s[%d] caught up: %s", name, replica.shard, reported.level());
-            if (reported.level()) {
+            fleet.time.log("%s[%d] caught up: %s", name, replica.shard, reported.caughtUp());
+            if (reported.caughtUp()) {
                 view.heardFrom.add(name);
                 long compared = fleet.configured.stream().filter(view.heardFrom::contains).count();
                 if (compared < fleet.majority()) {
@@ -260,15 +260,15 @@
                 view.heardFrom.clear();
                 view.mustCatchUp = false;
             }
-            view.caughtUp = reported.level();
+            view.caughtUp = reported.caughtUp();
         } else if (action instanceof ShardAction.EffectiveOrderChanged reported) {
-            fleet.time.log("%s[%d] acts on %s: %s", name, replica.shard, reported.key(), reported.acting());
+            fleet.time.log("%s[%d] acts on %s: %s", name, replica.shard, reported.key(), reported.order());
             checkCaughtUp(replica, action);
-            if (reported.acting().chosen() != null) {
-                checkDecided(reported.acting().chosen());
+            if (reported.order().chosen() != null) {
+                checkDecided(reported.order().chosen());
             }
-            reported.acting().rivals().forEach(this::checkDecided);
-            view.effectiveOrders.put(reported.key(), reported.acting());
+            reported.order().rivals().forEach(this::checkDecided);
+            view.effectiveOrders.put(reported.key(), reported.order());
         } else if (action instanceof ShardAction.EntryReceived reported) {
             if (reported.entry().payload() == null) {
                 view.freshEntries.remove(reported.entry().key());
@@ -309,7 +309,7 @@
                 replica.view.promises.put(key, promise);
             }
             if (previous != null && !previous.id.equals(promised.id())
-                    && (nowUs - previous.atUs) / MIN_CLOCK_RATE < SimulatedFleet.COPY.promiseUs()
+                    && (nowUs - previous.atUs) / MIN_CLOCK_RATE < SimulatedFleet.COPY.promiseDurationUs()
                     && !decided.containsKey(previous.id) && !abandonedRounds.contains(previous.round)) {
                 throw new Violation(Rule.PROMISE, replica.owner.node().name + " promises " + key + " to both " + previous.id
                         + " and " + promised.id());
--- a/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
@@ -177,7 +177,7 @@
             List<ObserverAction> all = new ArrayList<>(List.of(action));
             if (action instanceof ObserverAction.EffectiveOrderChanged changed) {
                 reportedKeys.computeIfAbsent(node, key -> new LinkedHashSet<>()).add(changed.key());
-            } else if (action instanceof ObserverAction.CaughtUpChanged reported && !reported.level()) {
+            } else if (action instanceof ObserverAction.CaughtUpChanged reported && !reported.caughtUp()) {
                 reportedKeys.getOrDefault(node, Set.of()).forEach(
                         key -> all.add(new ObserverAction.EffectiveOrderChanged(key, new EffectiveOrder(null, null, List.of()))));
             }
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
@@ -69,7 +69,7 @@
             handle(new FeedEvent.Refused(reported.id(), reported.why()));
         } else if (action instanceof ShardAction.CaughtUpChanged reported) {
             boolean wasCaughtUp = isCaughtUp();
-            if (reported.level()) {
+            if (reported.caughtUp()) {
                 caughtUpShards.add(replica.shard);
             } else {
                 caughtUpShards.remove(replica.shard);
