--- a/fleet/src/main/java/walkpost/fleet/copy/Shard.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Shard.java
@@ -1,6 +1,5 @@
 package walkpost.fleet.copy;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/fleet/src/main/java/walkpost/fleet/copy/ShardMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/ShardMessage.java
@@ -66,7 +66,7 @@
      * @param other the order that stands in the way, if any
      * @param slot the sender's slot, if it holds orders that the coordinator lacks; else null
      */
-    record Declined(long round, String id, ShardMessage.DeclineReason why, String other, Slot slot) implements ShardMessage {
+    record Declined(long round, String id, DeclineReason why, String other, Slot slot) implements ShardMessage {
         public Declined {
             Objects.requireNonNull(why, "why");
         }
@@ -124,14 +124,14 @@
     }
 
     /** Lists the sender's slots in the leaves that differ. The parts are counted so that the receiver knows when it has them all. */
-    record SlotDigests(long round, int part, int parts, List<ShardMessage.SlotDigest> stamps) implements ShardMessage {
+    record SlotDigests(long round, int part, int parts, List<SlotDigest> stamps) implements ShardMessage {
         public SlotDigests {
             stamps = List.copyOf(stamps);
         }
     }
 
     /** Lists the sender's entries in the leaves that differ. */
-    record EntryDigests(long round, List<ShardMessage.EntryDigest> stamps) implements ShardMessage {
+    record EntryDigests(long round, List<EntryDigest> stamps) implements ShardMessage {
         public EntryDigests {
             stamps = List.copyOf(stamps);
         }
@@ -146,7 +146,7 @@
     }
 
     /** Carries the requested slots; one without history if the sender no longer has the slot. */
-    record Slots(long awayUs, List<ShardMessage.AgedSlot> slots) implements ShardMessage {
+    record Slots(long awayUs, List<AgedSlot> slots) implements ShardMessage {
         public Slots {
             slots = List.copyOf(slots);
         }
@@ -178,6 +178,6 @@
         }
     }
 
-    /** The reason why a member declines to make a promise. */
+    /** The reason why a member declines to make a promise. The names of the constants are sent to other members. */
     enum DeclineReason { NOT_LEVEL, OVERTAKEN, BUSY, FULL }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/SlotMerge.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/SlotMerge.java
@@ -21,14 +21,14 @@
     static final String EXCLUSION = "exclusion";
 
     private static final Comparator<String> NULL_FIRST = Comparator.nullsFirst(Comparator.naturalOrder());
-    /** Orders with the same id, which a faulty caller may give: all replicas keep the greater one. */
+    /** The order of preference among orders with the same id, which a faulty caller may give: all replicas keep the greatest. */
     private static final Comparator<Order> BY_CONTENT = Comparator.comparingLong(Order::version)
             .thenComparing(Order::payload, NULL_FIRST)
             .thenComparing(Order::before, NULL_FIRST)
             .thenComparing(order -> String.join("\n", order.replaces()))
             .thenComparing(order -> order.issuer().name())
             .thenComparingLong(order -> order.issuer().incarnation());
-    /** Orders rivals: all replicas choose the greatest. */
+    /** The order of preference among rivals: all replicas choose the greatest. */
     private static final Comparator<Order> BY_VERSION_AND_ID = Comparator.comparingLong(Order::version).thenComparing(Order::id);
 
     private SlotMerge() { }
--- a/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
@@ -19,10 +19,8 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import walkpost.fleet.copy.Entry;
-import walkpost.fleet.copy.ShardMessage;
-import walkpost.fleet.copy.ShardMessage.Commit;
-import walkpost.fleet.copy.ShardMessage.Entries;
 import walkpost.fleet.copy.Order;
+import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
@@ -83,9 +81,9 @@
         assertThat(codec.decode(codec.encode(member))).isEqualTo(member);
         var key = new Order.Key("exclusion", "tile-1");
         var order = new Order(key, "o1", 2, List.of("o0"), "{\"out\":true}", null, FROM);
-        var hold = new Commit(4, "o1", new Slot(key, List.of(order), Map.of("o0", 1L), 0));
-        var entries = new Entries(false, List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250)));
-        for (ShardMessage message : List.of(hold, entries)) {
+        var commit = new ShardMessage.Commit(4, "o1", new Slot(key, List.of(order), Map.of("o0", 1L), 0));
+        var entries = new ShardMessage.Entries(false, List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250)));
+        for (ShardMessage message : List.of(commit, entries)) {
             Envelope copy = Envelope.of(message, 5, "gent", FROM, AT, SHARDS);
             assertThat(codec.decode(codec.encode(copy))).isEqualTo(copy);
         }
@@ -108,7 +106,8 @@
                 new ObserveMessage.Call(key, "o2", null, null, 1), new ObserveMessage.Call(key, "o2", "", "{}", 1L << 61),
                 new ObserveMessage.Answer("o1", 1, 2, order, null, null, null, false),
                 new ObserveMessage.Answer("o1", 1, 2, null, "Busy", "it crosses", "wait", true), new ObserveMessage.Report(entries),
-                new ObserveMessage.AskEntries(3, "load"), new ObserveMessage.Entries(3, 0, 1, entries), new ObserveMessage.AskHeld(4, key, "o1"),
+                new ObserveMessage.AskEntries(3, "load"), new ObserveMessage.Entries(3, 0, 1, entries),
+                new ObserveMessage.AskHeld(4, key, "o1"),
                 new ObserveMessage.Held(4, 5, 6, List.of("n9")), new ObserveMessage.Sum("north", Map.of("south", 12)));
     }
 
@@ -227,7 +226,7 @@
 
     @Test
     void aMessageTooLongIsNotSent() {
-        var entries = new Entries(false,
+        var entries = new ShardMessage.Entries(false,
                 List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, "x".repeat(Codec.MOST), 0)));
         assertThat(codec.encode(Envelope.of(entries, 0, "gent", FROM, AT, SHARDS))).isNull();
         assertThat(counters.get("dropped_too_long")).isOne();
--- a/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/FleetTest.java
@@ -28,9 +28,9 @@
 import walkpost.fleet.FleetException.NotLevel;
 import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.ShardMessage.FetchRequest;
 import walkpost.fleet.copy.ShardSettings;
-import walkpost.fleet.copy.Order;
 import walkpost.fleet.member.Address;
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.Member;
@@ -159,7 +159,8 @@
         fleets.get(1).writeEntry("load", "n2", "{\"busy\":0.5}");
         heard.get(0).await(entry("n2", "{\"busy\":0.5}"));
         heard.get(2).await(entry("n2", "{\"busy\":0.5}"));
-        assertThat(fleets.get(2).entries("load").toCompletableFuture().join().entries()).extracting(Entry::payload).containsExactly("{\"busy\":0.5}");
+        assertThat(fleets.get(2).entries("load").toCompletableFuture().join().entries()).extracting(Entry::payload)
+                .containsExactly("{\"busy\":0.5}");
         heard.get(2).await(event -> event.equals(new Entry.Key("load", "n2", "n2")));
 
         Order order = ordered(fleets.get(2), "o1", "", "{\"out\":true}");
--- a/fleet/src/test/java/walkpost/fleet/shell/MemberMain.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/MemberMain.java
@@ -71,7 +71,8 @@
                 fleet.held(new Order.Key("exclusion", words[1]), words[2])
                         .thenAccept(found -> tell("held " + found.held() + " of " + found.of() + " silent " + found.silent()));
             } else if (words[0].equals("state")) {
-                tell("state level " + fleet.isCaughtUp() + " feeds " + fleet.feeds() + " members " + fleet.members() + " " + fleet.counters());
+                tell("state level " + fleet.isCaughtUp() + " feeds " + fleet.feeds()
+                        + " members " + fleet.members() + " " + fleet.counters());
             } else if (words[0].equals("full")) {
                 full.set(true);
                 tell("full");
--- a/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
@@ -245,7 +245,8 @@
         var third = open.get("v1").order(KEY, "a", "", OUT).toCompletableFuture();
         Order order = first.get(FAILED_S, TimeUnit.SECONDS);
         assertThat(second.get(FAILED_S, TimeUnit.SECONDS).id()).isEqualTo("a");
-        assertThat(third.handle((given, why) -> why == null || why instanceof FleetException.Busy).get(FAILED_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(third.handle((given, why) -> why == null || why instanceof FleetException.Busy)
+                .get(FAILED_S, TimeUnit.SECONDS)).isTrue();
         awaitAll(k -> k.effectiveOrderChanged(OUT));
         for (Fleet fleet : open.values()) {
             assertThat(fleet.orders().get(KEY).chosen().id()).isEqualTo("a");
@@ -261,7 +262,8 @@
         open.get("o1").writeEntry("proxy", "o1", "{\"a\":1}");
         open.get("v2").writeEntry("proxy", "v2", "{\"b\":2}");
         for (String asker : List.of("o6", "v1")) {
-            TopicEntries heard = asked(() -> open.get(asker).entries("proxy"), found -> found.entries().size() == 2 && found.silent().isEmpty());
+            TopicEntries heard = asked(() -> open.get(asker).entries("proxy"),
+                    found -> found.entries().size() == 2 && found.silent().isEmpty());
             assertThat(heard.entries().stream().collect(Collectors.toMap(entry -> entry.key().writer(), Entry::payload)))
                     .isEqualTo(Map.of("o1", "{\"a\":1}", "v2", "{\"b\":2}"));
             assertThat(heard.entries()).allMatch(entry -> entry.ageUs() >= 0 && entry.ageUs() < FAILED_S * 1_000_000L);
