--- a/fleet/src/main/java/walkpost/fleet/copy/Acceptor.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Acceptor.java
@@ -32,8 +32,10 @@
             return declined(proposal, ShardMessage.DeclineReason.NOT_LEVEL, "", null);
         }
         Slot slot = slotStore.slot(order.key());
-        if (!new TreeSet<>(order.replaces()).equals(new TreeSet<>(SlotMerge.headIds(slot))) || order.version() != SlotMerge.nextVersion(slot)) {
-            return declined(proposal, ShardMessage.DeclineReason.OVERTAKEN, SlotMerge.describe(slot), last(SlotMerge.split(slot, order.id())));
+        if (!new TreeSet<>(order.replaces()).equals(new TreeSet<>(SlotMerge.headIds(slot)))
+                || order.version() != SlotMerge.nextVersion(slot)) {
+            return declined(proposal, ShardMessage.DeclineReason.OVERTAKEN, SlotMerge.describe(slot),
+                    last(SlotMerge.split(slot, order.id())));
         }
         if (order.payload() == null && !SlotMerge.isRemoved(slot) && slotStore.isRemovalMemoryFull()) {
             return declined(proposal, ShardMessage.DeclineReason.FULL, "", null);
@@ -44,7 +46,7 @@
             return declined(proposal, ShardMessage.DeclineReason.BUSY, promise.id(), null);
         }
         if (promise == null || promise.round() != proposal.round()) {
-            promises.put(order.key(), new Promise(order.issuer(), proposal.round(), order.id(), nowUs + settings.promiseUs()));
+            promises.put(order.key(), new Promise(order.issuer(), proposal.round(), order.id(), nowUs + settings.promiseDurationUs()));
         }
         return new ShardMessage.Promised(proposal.round(), order.id());
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
@@ -75,7 +75,7 @@
             }
             Order known = SlotMerge.findHead(slot, call.id());
             if (known != null) {
-                commit(nowUs, known, nowUs + settings.answerUs(), out);
+                commit(nowUs, known, nowUs + settings.answerTimeoutUs(), out);
                 return;
             }
             Order order = create(call, slot);
@@ -132,7 +132,7 @@
             if (!proposal.decided && known != null && Objects.equals(known.payload(), proposal.order.payload())) {
                 // The order was decided in an earlier round or by another member, and this member has learnt of it since.
                 releasePromises(proposal, out);
-                commit(nowUs, known, proposal.deadlineUs + settings.answerUs(), out);
+                commit(nowUs, known, proposal.deadlineUs + settings.answerTimeoutUs(), out);
                 continue;
             }
             if (!proposal.decided) {
@@ -151,14 +151,15 @@
 
     private void check(ShardEvent.Propose call, Slot slot, Order known) throws FleetException {
         String problem = null;
-        if (call.id() == null || call.id().isBlank() || MessageSizes.utf8Length(call.id()) > MessageSizes.ID) {
-            problem = "an order needs an id of 1 to " + MessageSizes.ID + " bytes";
-        } else if (call.key().topic().isBlank() || MessageSizes.utf8Length(call.key().topic()) > MessageSizes.TOPIC) {
-            problem = "an order needs a topic of 1 to " + MessageSizes.TOPIC + " bytes";
-        } else if (call.key().subject().isBlank() || MessageSizes.utf8Length(call.key().subject()) > MessageSizes.SUBJECT) {
-            problem = "an order needs a subject of 1 to " + MessageSizes.SUBJECT + " bytes";
-        } else if (MessageSizes.utf8Length(call.payload()) > MessageSizes.PAYLOAD) {
-            problem = "the payload of an order has at most " + MessageSizes.PAYLOAD + " bytes, found " + MessageSizes.utf8Length(call.payload());
+        if (call.id() == null || call.id().isBlank() || MessageSizes.utf8Length(call.id()) > MessageSizes.MAX_ORDER_ID_BYTES) {
+            problem = "an order needs an id of 1 to " + MessageSizes.MAX_ORDER_ID_BYTES + " bytes";
+        } else if (call.key().topic().isBlank() || MessageSizes.utf8Length(call.key().topic()) > MessageSizes.MAX_TOPIC_BYTES) {
+            problem = "an order needs a topic of 1 to " + MessageSizes.MAX_TOPIC_BYTES + " bytes";
+        } else if (call.key().subject().isBlank() || MessageSizes.utf8Length(call.key().subject()) > MessageSizes.MAX_SUBJECT_BYTES) {
+            problem = "an order needs a subject of 1 to " + MessageSizes.MAX_SUBJECT_BYTES + " bytes";
+        } else if (MessageSizes.utf8Length(call.payload()) > MessageSizes.MAX_ORDER_PAYLOAD_BYTES) {
+            problem = "the payload of an order has at most " + MessageSizes.MAX_ORDER_PAYLOAD_BYTES + " bytes, found "
+                    + MessageSizes.utf8Length(call.payload());
         } else if (call.payload() != null && call.payload().indexOf('\n') >= 0) {
             problem = "the payload of an order is one line of JSON, found a line break";
         } else if (known != null && !(known.key().equals(call.key()) && Objects.equals(known.payload(), call.payload()))) {
@@ -184,12 +185,13 @@
         if (call.payload() == null && slotStore.isRemovalMemoryFull()) {
             throw removalMemoryFull();
         }
-        return new Order(call.key(), call.id(), SlotMerge.nextVersion(slot), inForce, call.payload(), SlotMerge.effectiveOrder(slot).payload(), self);
+        return new Order(call.key(), call.id(), SlotMerge.nextVersion(slot), inForce, call.payload(),
+                SlotMerge.effectiveOrder(slot).payload(), self);
     }
 
     /** Carries out step 1: proposes the order to all configured members, this one first. */
     private void start(long nowUs, Order order, Slot slot, Outbox out) throws FleetException {
-        Proposal proposal = new Proposal(order, ++lastRound, false, nowUs, nowUs + settings.answerUs());
+        Proposal proposal = new Proposal(order, ++lastRound, false, nowUs, nowUs + settings.answerTimeoutUs());
         ShardMessage ownAnswer = acceptor.answerProposal(nowUs, new ShardMessage.Propose(proposal.round, order, slot));
         if (ownAnswer instanceof ShardMessage.Declined declined) {
             throw declined.why() == ShardMessage.DeclineReason.BUSY ? new FleetException.Busy(order.id(), declined.other())
@@ -219,7 +221,7 @@
             acceptor.releaseDecided(proposal.order.key(), proposal.order.id());
             slotStore.storeDecided(nowUs, proposal.order);
             counters.increment("orders.decided");
-            commit(nowUs, proposal.order, proposal.deadlineUs + settings.answerUs(), out);
+            commit(nowUs, proposal.order, proposal.deadlineUs + settings.answerTimeoutUs(), out);
         }
     }
 
@@ -257,7 +259,8 @@
             return new FleetException.Overtaken(id, SlotMerge.describe(slot));
         }
         Collection<ShardMessage.Declined> firmlyDeclined = new ArrayList<>(proposal.declinedBy.values());
-        firmlyDeclined.removeIf(declined -> declined.why() != ShardMessage.DeclineReason.BUSY && declined.why() != ShardMessage.DeclineReason.FULL);
+        firmlyDeclined.removeIf(declined -> declined.why() != ShardMessage.DeclineReason.BUSY
+                && declined.why() != ShardMessage.DeclineReason.FULL);
         if (firmlyDeclined.size() <= peers.configuredSize() - peers.majority()) {
             return null;
         }
@@ -296,6 +299,6 @@
     }
 
     private FleetException removalMemoryFull() {
-        return new FleetException.Full("removed keys remembered in one shard", settings.removals());
+        return new FleetException.Full("removed keys remembered in one shard", settings.maxRemovedKeys());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/Shard.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/Shard.java
@@ -1,6 +1,5 @@
 package walkpost.fleet.copy;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,9 +9,9 @@
 import walkpost.fleet.member.Life;
 
 /**
- * This member's replica of one shard of the fleet's state: the entries and orders whose keys {@link KeyHash#shardOf} maps to the shard. Each
- * component owns one part of the state; this class passes events to the components and owns what has been reported to the process. See
- * {@code docs/fleet.md}.
+ * This member's replica of one shard of the fleet's state: the entries and orders whose keys {@link KeyHash#shardOf} maps to the shard.
+ * Each component owns one part of the state; this class passes events to the components and owns what has been reported to the process.
+ * See {@code docs/fleet.md}.
  *
  * <p>Not thread-safe: the read methods need the same lock as {@link #handle}. The values that they return are immutable or copies.
  */
@@ -44,7 +43,7 @@
             throw new IllegalArgumentException("configured is empty, expected the name of at least one member");
         }
         this.settings = settings;
-        peers = new PeerSet(self.name(), configured, settings.compareUs(), seed);
+        peers = new PeerSet(self.name(), configured, settings.comparisonPeriodUs(), seed);
         catchUpState = new CatchUpState(settings, peers, counters);
         slotStore = new SlotStore(settings, counters);
         gossip = new EntryGossip(settings, peers);
@@ -219,7 +218,7 @@
 
     private static boolean isOutdated(long newerAwayUs, long olderAwayUs, ShardSettings settings) {
         // Half the duration for which removals are remembered leaves room for the ages that differ between members.
-        return olderAwayUs - newerAwayUs > settings.removalUs() / 2;
+        return olderAwayUs - newerAwayUs > settings.removedKeyRetentionUs() / 2;
     }
 
     private void updateCaughtUp(long nowUs) {
--- a/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ShardLane.java
@@ -274,21 +274,21 @@
         } else if (due.action instanceof ShardAction.Refused refused) {
             surroundings.refused(refused.id(), refused.why());
         } else if (due.action instanceof ShardAction.EffectiveOrderChanged stands) {
-            if (stands.acting().payload() == null && stands.acting().rivals().isEmpty()) {
+            if (stands.order().payload() == null && stands.order().rivals().isEmpty()) {
                 stood.remove(stands.key());
             } else {
-                stood.put(stands.key(), stands.acting());
+                stood.put(stands.key(), stands.order());
             }
-            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.acting()));
+            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.order()));
         } else if (due.action instanceof ShardAction.EntryReceived heard) {
-            topics.add(heard.fact().key().topic());
-            tell(listener -> listener.entryReceived(heard.fact()));
+            topics.add(heard.entry().key().topic());
+            tell(listener -> listener.entryReceived(heard.entry()));
         } else if (due.action instanceof ShardAction.EntryStale stale) {
             Entry.Key key = stale.key();
             Log.warn("fact_stale", "topic", key.topic(), "subject", key.subject(), "writer", key.writer(), "age_ms", stale.ageUs() / 1_000);
             tell(listener -> listener.stale(key));
-        } else if (due.action instanceof ShardAction.CaughtUpChanged level) {
-            surroundings.level(number, level.level());
+        } else if (due.action instanceof ShardAction.CaughtUpChanged caughtUp) {
+            surroundings.level(number, caughtUp.caughtUp());
         }
     }
 
@@ -301,11 +301,11 @@
         put(new Item(clock.nowUs(), null, 0, () -> {
             stood.forEach((key, acting) -> outlet.put(listener -> listener.effectiveOrderChanged(key, acting)));
             for (String topic : topics) {
-                for (Entry fact : entries(topic)) {
-                    if (!fact.key().writer().equals(self)) {
-                        outlet.put(listener -> listener.entryReceived(fact));
-                        if (fact.ageUs() > boundUs.applyAsLong(topic)) {
-                            outlet.put(listener -> listener.stale(fact.key()));
+                for (Entry entry : entries(topic)) {
+                    if (!entry.key().writer().equals(self)) {
+                        outlet.put(listener -> listener.entryReceived(entry));
+                        if (entry.ageUs() > boundUs.applyAsLong(topic)) {
+                            outlet.put(listener -> listener.stale(entry.key()));
                         }
                     }
                 }
--- a/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
@@ -12,11 +12,11 @@
 import java.util.stream.Stream;
 import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Entry;
+import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.ShardAction;
 import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.copy.ShardMessage;
 import walkpost.fleet.copy.ShardMessage.DeclineReason;
-import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.copy.SlotMerge;
 import walkpost.fleet.member.MemberEvent;
@@ -78,7 +78,8 @@
         @Override
         List<ShardAction> replaceAction(Node node, int shard, ShardAction action) {
             if (action instanceof ShardAction.Send send && send.message() instanceof ShardMessage.CompareRoots request) {
-                node.deliverForged(shard, send.to(), new ShardMessage.NodeHashes(request.round(), request.awayUs(), new long[0], new long[0]));
+                node.deliverForged(shard, send.to(),
+                        new ShardMessage.NodeHashes(request.round(), request.awayUs(), new long[0], new long[0]));
             }
             return List.of(action);
         }
@@ -143,7 +144,8 @@
         List<ObserverAction> replaceAction(Node node, ObserverAction action) {
             List<ObserverAction> all = new ArrayList<>(List.of(action));
             if (action instanceof ObserverAction.Send send && send.message() instanceof ObserveMessage.Taken) {
-                lastPushed.get(node).forEach(slot -> all.add(new ObserverAction.EffectiveOrderChanged(slot.key(), SlotMerge.effectiveOrder(slot))));
+                lastPushed.get(node).forEach(slot -> all.add(
+                        new ObserverAction.EffectiveOrderChanged(slot.key(), SlotMerge.effectiveOrder(slot))));
             }
             return all;
         }
@@ -175,7 +177,7 @@
             List<ObserverAction> all = new ArrayList<>(List.of(action));
             if (action instanceof ObserverAction.EffectiveOrderChanged changed) {
                 reportedKeys.computeIfAbsent(node, key -> new LinkedHashSet<>()).add(changed.key());
-            } else if (action instanceof ObserverAction.CaughtUpChanged reported && !reported.level()) {
+            } else if (action instanceof ObserverAction.CaughtUpChanged reported && !reported.caughtUp()) {
                 reportedKeys.getOrDefault(node, Set.of()).forEach(
                         key -> all.add(new ObserverAction.EffectiveOrderChanged(key, new EffectiveOrder(null, null, List.of()))));
             }
