--- a/fleet/src/main/java/walkpost/fleet/member/Address.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Address.java
@@ -1,6 +1,6 @@
 package walkpost.fleet.member;
 
-/** Where a member is reached, over UDP and TCP alike: an IPv4 address in numbers, and a port. */
+/** The address of a member, the same for UDP and TCP: a numeric IPv4 address and a port. */
 public record Address(String host, int port) {
     @Override
     public String toString() {
--- a/fleet/src/main/java/walkpost/fleet/member/Life.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Life.java
@@ -1,8 +1,8 @@
 package walkpost.fleet.member;
 
 /**
- * One life of a member. A process that starts again takes a greater incarnation, and so does one that refutes a suspicion; what
- * was said of a lower one no longer counts.
+ * A member's name together with one of its incarnations. A member takes a higher incarnation when its process restarts and when it
+ * refutes a suspicion; claims about a lower incarnation are then void.
  */
 public record Life(String name, long incarnation) {
     @Override
--- a/fleet/src/main/java/walkpost/fleet/member/LocalHealth.java
+++ b/fleet/src/main/java/walkpost/fleet/member/LocalHealth.java
@@ -1,47 +1,49 @@
 package walkpost.fleet.member;
 
 /**
- * How far this member trusts itself: Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2018, section IV.A). What it gets
- * wrong makes it wait longer, what it gets right shorter again. After its process stood still it is in doubt: then it condemns nobody
- * until one of its pings has been acknowledged, or, should nobody be left, until the longest suspicion would be over.
- * Owned by one {@link Membership}.
+ * Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2018, section IV.A). Signs that this member itself is slow, such as
+ * unacknowledged pings, raise the score and lengthen its timeouts; acknowledged pings lower the score again.
+ *
+ * <p>After a pause of its process this member is in doubt: it neither suspects other members nor declares them dead. The doubt ends when
+ * one of its pings is acknowledged, and in any case after the longest suspicion timeout, because no other member may be left that
+ * could acknowledge a ping. Owned by one {@link Membership}; not thread-safe.
  */
 final class LocalHealth {
-    /** How much a standstill counts: more than one ping lost, less than to be slow for long. */
-    private static final int STANDSTILL = 2;
-    private final int worst;
+    /** Score added by a pause of the process: it counts more than one lost ping, but is less than the score of a lasting slowness. */
+    private static final int PAUSE_PENALTY = 2;
+    private final int maxScore;
     private int score;
     private long doubtUntilUs = Long.MIN_VALUE;
 
-    LocalHealth(int worst) {
-        this.worst = worst;
+    LocalHealth(int maxScore) {
+        this.maxScore = maxScore;
     }
 
     int score() {
         return score;
     }
 
-    /** Returns a time of waiting made longer by how little this member trusts itself. */
-    long scaled(long us) {
-        return us * (1 + score);
+    /** Returns a timeout multiplied by one plus the score. */
+    long scaled(long timeoutUs) {
+        return timeoutUs * (1 + score);
     }
 
-    void worse(int steps) {
-        score = Math.min(worst, score + steps);
+    void degrade(int steps) {
+        score = Math.min(maxScore, score + steps);
     }
 
-    /** A ping has been acknowledged in time. */
-    void acknowledged() {
+    /** Records that one of this member's pings has been acknowledged in time. */
+    void recordAck() {
         score = Math.max(0, score - 1);
         doubtUntilUs = Long.MIN_VALUE;
     }
 
-    void stoodStill(long doubtUntilUs) {
-        worse(STANDSTILL);
+    void recordPause(long doubtUntilUs) {
+        degrade(PAUSE_PENALTY);
         this.doubtUntilUs = doubtUntilUs;
     }
 
-    boolean inDoubt(long nowUs) {
+    boolean isInDoubt(long nowUs) {
         return nowUs < doubtUntilUs;
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/Member.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Member.java
@@ -1,4 +1,4 @@
 package walkpost.fleet.member;
 
-/** What is known of a member. */
+/** A member's name and incarnation, its address and its state. */
 public record Member(Life life, Address address, Standing standing) { }
--- a/fleet/src/main/java/walkpost/fleet/member/MemberAction.java
+++ b/fleet/src/main/java/walkpost/fleet/member/MemberAction.java
@@ -1,10 +1,10 @@
 package walkpost.fleet.member;
 
-/** Something the owner of a {@link Membership} is to do. */
+/** An action that the owner of a {@link Membership} must carry out. */
 public sealed interface MemberAction {
-    /** Send a message: by datagram, it may get lost, or, where it is {@code large}, over a connection. */
+    /** Sends a message: over a connection if it is {@code large}, otherwise in a datagram, which may get lost. */
     record SendTo(Address to, MemberMessage message, boolean large) implements MemberAction { }
 
-    /** What is held of a member is this from now on, this member's own incarnation included. */
+    /** Reports the new state of a member. This member's own changes, such as a new incarnation, are reported too. */
     record Changed(Member member) implements MemberAction { }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/MemberEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/member/MemberEvent.java
@@ -1,13 +1,13 @@
 package walkpost.fleet.member;
 
-/** Something that happened to a member. */
+/** An input of a {@link Membership}. */
 public sealed interface MemberEvent {
-    /** Time has passed; comes some 20 times a second. A gap tells that the process stood still. */
+    /** Time has passed. The owner sends this event about 20 times a second; a gap shows that the process was paused. */
     record Tick() implements MemberEvent { }
 
-    /** A message has come, authentic, from this address. */
+    /** An authenticated message has arrived from this address. */
     record Received(Address from, MemberMessage message) implements MemberEvent { }
 
-    /** The process is about to end of its own will: the others are told. */
+    /** The process is about to shut down, so that this member must announce its departure. */
     record Leave() implements MemberEvent { }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/MemberMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/member/MemberMessage.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * What members say to each other about who lives. Unknown fields are passed over. But for {@link Sync} and its list each fits into one
- * datagram: under 1,200 bytes of CBOR.
+ * The messages of the membership protocol. Receivers ignore unknown fields. Each message except {@link Sync} fits into one datagram: it
+ * takes less than 1,200 bytes of CBOR.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
@@ -20,93 +20,99 @@
         @JsonSubTypes.Type(value = MemberMessage.Sync.class, name = "sync"),
         @JsonSubTypes.Type(value = MemberMessage.Farewell.class, name = "bye")})
 public sealed interface MemberMessage {
-    /** Returns who speaks, in its present life. */
+    /** Returns the sender's name and current incarnation. */
     Life sender();
 
-    /** Returns where the sender is reached: what a socket shows may be another address. */
+    /** Returns the address at which the sender is reached. The source address that a socket reports may differ from it. */
     Address at();
 
-    /** Returns what rides along. */
+    /** Returns the news that are piggybacked on this message. */
     List<News> news();
 
     /**
-     * Are you alive?
+     * Asks the receiver for an {@link Ack}.
      *
-     * @param seq comes back with the acknowledgement
-     * @param to whom it is meant for: another process may have the address by now
+     * @param seq the sequence number that the acknowledgement repeats
+     * @param to the name of the intended receiver, because another process may have taken over its address
      */
     record Ping(long seq, String to, Life sender, Address at, List<News> news) implements MemberMessage {
         public Ping {
-            news = listed(news);
+            news = copyOrEmpty(news);
         }
     }
 
-    /** Ping that one for me: I have had no answer. */
+    /** Asks the receiver to ping a target that has not acknowledged the sender's own ping. */
     record PingRequest(long seq, String target, Address where, Life sender, Address at, List<News> news) implements MemberMessage {
         public PingRequest {
-            news = listed(news);
+            news = copyOrEmpty(news);
         }
     }
 
-    /** That one is alive: the sender itself, or one that it pinged on the receiver's behalf. */
+    /** Acknowledges a ping. The member {@code of} is the sender itself or a target that it pinged on the receiver's behalf. */
     record Ack(long seq, String of, Life sender, Address at, List<News> news) implements MemberMessage {
         public Ack {
-            news = listed(news);
+            news = copyOrEmpty(news);
         }
     }
 
-    /** I live, but have no answer either, so far. */
+    /** Tells the sender of a {@link PingRequest} that the target has not acknowledged so far. */
     record Nack(long seq, Life sender, Address at, List<News> news) implements MemberMessage {
         public Nack {
-            news = listed(news);
+            news = copyOrEmpty(news);
         }
     }
 
-    /** Nothing but news: pings get rare where a member trusts itself less, and then who is suspected must be heard all the same. */
+    /**
+     * Carries news only. A member with a poor local health score pings rarely, and a suspected member's refutation must spread all the
+     * same.
+     */
     record Tell(Life sender, Address at, List<News> news) implements MemberMessage {
         public Tell {
-            news = listed(news);
+            news = copyOrEmpty(news);
         }
     }
 
     /**
-     * Do you hold the same as I do? Says nothing of whom, and is answered by a {@link Sync} of what differs, or not at all.
+     * Offers digests of the sender's state for comparison. The receiver answers with a {@link Sync} of the buckets that differ, or not at
+     * all if none differs or if it limits the rate of large answers.
      *
-     * @param digests of of those that the sender holds to live, itself among them, in {@link Digest#BUCKETS} buckets by name
+     * @param digests the digests of the members that the sender holds to be living, itself included, in {@link Digest#BUCKETS} buckets
+     *     by name
      */
     record Check(List<Integer> digests, Life sender, Address at, List<News> news) implements MemberMessage {
         public Check {
             digests = List.copyOf(digests);
-            news = listed(news);
+            news = copyOrEmpty(news);
         }
     }
 
     /**
-     * All that the sender knows, or all of it in some buckets; to be answered in kind unless it is an answer. Goes over a connection.
+     * Carries the sender's full state or its state of some buckets. The receiver answers with its own state of the same buckets, unless
+     * this message is itself an answer. Sent over a connection.
      *
-     * @param buckets those that it is about, see {@link Digest}; null for all, as earlier versions of the program have it
+     * @param buckets the buckets that it covers, see {@link Digest}; null means all, as earlier versions of the program send it
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     record Sync(boolean answer, Life sender, Address at, List<News> news, List<Integer> buckets) implements MemberMessage {
         public Sync {
-            news = listed(news);
+            news = copyOrEmpty(news);
             buckets = buckets == null ? null : List.copyOf(buckets);
         }
 
-        /** All that the sender knows. */
+        /** Creates a message that covers all buckets. */
         public Sync(boolean answer, Life sender, Address at, List<News> news) {
             this(answer, sender, at, news, null);
         }
     }
 
-    /** I go. */
+    /** Announces that the sender leaves the fleet. */
     record Farewell(Life sender, Address at, List<News> news) implements MemberMessage {
         public Farewell {
-            news = listed(news);
+            news = copyOrEmpty(news);
         }
     }
 
-    private static List<News> listed(List<News> news) {
+    private static List<News> copyOrEmpty(List<News> news) {
         return news == null ? List.of() : List.copyOf(news);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/Membership.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Membership.java
@@ -11,208 +11,213 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import walkpost.fleet.StateMachine;
+import walkpost.fleet.member.CounterTally.Counter;
 import walkpost.fleet.member.MembershipFigures.Drop;
-import walkpost.fleet.member.Tally.Of;
 
 /**
- * Who lives: SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002)
- * with Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018), and
- * exchanges of everything, by which members join and halves heal. Membership is open: any name with the fleet's secret may come.
+ * Group membership and failure detection by SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+ * Membership Protocol", 2002) with Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
+ * Detection", 2018). Exchanges of full state (anti-entropy) let members join and let the halves of a fleet find each other after a
+ * network partition. Membership is open: any process that has the fleet's secret may join under any name.
  *
- * <p>What the parts hold: {@link Identity} this member, {@link Roster} the others, {@link Suspicions} time to refute, {@link Gossip}
- * what is to be told, {@link Prober} the ping under way, {@link Relays} pings for others, {@link LocalHealth} trust in itself,
- * {@link RoundTrips}, {@link Contacts} the exchanges, {@link Strangers} who must speak for itself first. This class owns them all and
- * tells them what happens; its owner calls it from one thread at a time.
+ * <p>This class owns the parts and passes the events on to them: {@link LocalMember} is this member, {@link MemberTable} holds the other
+ * members, {@link UnverifiedMembers} those that must first send a message themselves. {@link MemberUpdates} changes their states,
+ * {@link Suspicions} times the suspicions, and {@link GossipQueue} and {@link NewsComposer} select the news for each message.
+ * {@link Prober} and {@link ProbeSchedule} ping the members in turn, {@link IndirectProbes} pings on behalf of others, and
+ * {@link StateExchange} schedules the exchanges of state. {@link LocalHealth} and {@link RoundTrips} determine the timeouts.
+ *
+ * <p>Not thread-safe: the owner calls this class from one thread at a time.
  */
 public final class Membership implements StateMachine<MemberEvent, MemberAction> {
     private static final long NEVER = Long.MIN_VALUE;
     private final MemberSettings settings;
-    private final Identity self;
-    private final Roster roster;
+    private final LocalMember self;
+    private final MemberTable members;
     private final Suspicions suspicions;
-    private final Gossip gossip;
+    private final GossipQueue gossip;
     private final LocalHealth health;
-    private final RoundTrips trips = new RoundTrips();
-    private final Tally tally = new Tally();
-    private final View view;
-    private final Post post;
+    private final RoundTrips roundTrips = new RoundTrips();
+    private final CounterTally counters = new CounterTally();
+    private final MemberUpdates updates;
+    private final NewsComposer composer;
     private final Prober prober;
-    private final Contacts contacts;
-    private long tickedUs = NEVER;
+    private final StateExchange stateExchange;
+    private long lastTickUs = NEVER;
 
     /**
-     * Makes a member that knows of nobody yet; it starts with its first event.
+     * Creates a member that knows no other member yet. It starts with its first event.
      *
-     * @param self its name, and an incarnation that no former life of that name had: the wall clock in ms does
-     * @param at where the others reach it
-     * @param seeds whom to ask first; its own address may be among them
-     * @param seed of all random choices
-     * @throws IllegalArgumentException if name, address or incarnation can't go into a message
+     * @param self its name and an incarnation that no earlier life of this name had, such as the wall clock in milliseconds
+     * @param address the address at which the other members reach it
+     * @param seeds the members to contact in order to join; its own address may be among them
+     * @param seed the seed of all random choices
+     * @throws IllegalArgumentException if the name, the address or the incarnation is not valid in a message
      */
-    public Membership(MemberSettings settings, Life self, Address at, List<Address> seeds, long seed) {
+    public Membership(MemberSettings settings, Life self, Address address, List<Address> seeds, long seed) {
         this.settings = settings;
-        this.self = new Identity(self, at);
+        this.self = new LocalMember(self, address);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        Set<Address> others = new LinkedHashSet<>(seeds);
-        others.remove(at);
-        roster = new Roster(settings);
+        Set<Address> otherSeeds = new LinkedHashSet<>(seeds);
+        otherSeeds.remove(address);
+        members = new MemberTable(settings);
         suspicions = new Suspicions(settings);
-        gossip = new Gossip(settings.tellings());
+        gossip = new GossipQueue(settings.tellings());
         health = new LocalHealth(settings.healthWorst());
-        Strangers strangers = new Strangers();
-        Rota rota = new Rota(random, roster);
-        post = new Post(this.self, roster, suspicions, gossip);
-        view = new View(this.self, roster, rota, suspicions, strangers, gossip, health, tally);
-        Relays relays = new Relays(settings, this.self, post, tally);
-        prober = new Prober(settings, this.self, rota, view, post, health, trips, relays, tally, random);
-        contacts = new Contacts(settings, this.self, others, roster, rota, strangers, post, random);
+        UnverifiedMembers unverified = new UnverifiedMembers();
+        ProbeSchedule schedule = new ProbeSchedule(random, members);
+        composer = new NewsComposer(this.self, members, suspicions, gossip);
+        updates = new MemberUpdates(this.self, members, schedule, suspicions, unverified, gossip, health, counters);
+        IndirectProbes indirectProbes = new IndirectProbes(settings, this.self, composer, counters);
+        prober = new Prober(settings, this.self, schedule, updates, composer, health, roundTrips, indirectProbes, counters, random);
+        stateExchange = new StateExchange(settings, this.self, otherSeeds, members, schedule, unverified, composer, random);
     }
 
     @Override
     public void handle(long nowUs, MemberEvent event, Consumer<MemberAction> actions) {
-        Turn turn = new Turn(nowUs, actions);
+        EventContext context = new EventContext(nowUs, actions);
         if (self.hasLeft()) {
             if (event instanceof MemberEvent.Received) {
-                tally.drop(Drop.LEFT);
+                counters.drop(Drop.LEFT);
             }
             return;
         }
-        watchClock(turn);
+        checkClock(context);
         if (event instanceof MemberEvent.Received received) {
-            received(turn, received.message());
+            handleMessage(context, received.message());
         } else if (event instanceof MemberEvent.Leave) {
-            leave(turn);
+            leave(context);
         } else {
-            tick(turn);
+            tick(context);
         }
     }
 
-    /** Returns what is held of everybody, this member first; the dead and those who left until they are forgotten. */
+    /** Returns all known members, this member first. Dead members and members that left are included until they are forgotten. */
     public List<Member> members() {
         List<Member> all = new ArrayList<>();
         all.add(self.member());
-        all.addAll(roster.all());
+        all.addAll(members.all());
         return Collections.unmodifiableList(all);
     }
 
     /**
-     * Returns the others that live (the suspected among them) with their measured round trips in microseconds, as upper bounds: the
-     * smoothed mean and four mean deviations. Where none is measured it is the period.
+     * Returns the other living members, suspected members included, with an upper bound of their round-trip time in microseconds: the
+     * smoothed mean plus four mean deviations, or the probe period if no round trip has been measured.
      */
     public Map<String, Long> roundTripUs() {
         return roundTripUs(Set.of());
     }
 
     /**
-     * Returns the same, and those of {@code always} besides that are held for dead or gone: what must not wait until this member has
-     * heard that they are back is to be tried on them all the same.
+     * Returns the same as {@link #roundTripUs()} and, with the probe period as their bound, the known members among {@code always} that
+     * are dead or have left. The caller contacts these members without waiting for news that they are back.
      */
     public Map<String, Long> roundTripUs(Set<String> always) {
         Map<String, Long> all = new LinkedHashMap<>();
-        always.stream().filter(name -> roster.get(name) != null).forEach(name -> all.put(name, settings.periodUs()));
-        for (Member member : roster.living()) {
+        always.stream().filter(name -> members.get(name) != null).forEach(name -> all.put(name, settings.periodUs()));
+        for (Member member : members.living()) {
             String name = member.life().name();
-            all.put(name, trips.boundUs(name, settings.periodUs()));
+            all.put(name, roundTrips.boundUs(name, settings.periodUs()));
         }
         return Collections.unmodifiableMap(all);
     }
 
-    /** Returns what has been counted so far. */
+    /** Returns a snapshot of the counters. */
     public MembershipFigures figures() {
-        return tally.figures(health.score());
+        return counters.snapshot(health.score());
     }
 
-    private void watchClock(Turn turn) {
-        if (tickedUs == NEVER) {
-            prober.start(turn.nowUs());
-            contacts.start(turn.nowUs());
+    /** Starts this member with its first event, and detects a pause of the process by a gap between ticks. */
+    private void checkClock(EventContext context) {
+        if (lastTickUs == NEVER) {
+            prober.start(context.nowUs());
+            stateExchange.start(context.nowUs());
             gossip.add(News.of(self.member(), self.name()));
-            turn.changed(self.member());
-            tickedUs = turn.nowUs();
-        } else if (turn.nowUs() - tickedUs > settings.gapUs()) {
-            tally.count(Of.STANDSTILLS);
-            health.stoodStill(turn.nowUs() + suspicions.longestUs(roster.size()));
-            suspicions.restart(turn.nowUs());
-            prober.abandon(turn.nowUs());
-            tickedUs = turn.nowUs();
+            context.publishChange(self.member());
+            lastTickUs = context.nowUs();
+        } else if (context.nowUs() - lastTickUs > settings.gapUs()) {
+            counters.count(Counter.STANDSTILLS);
+            health.recordPause(context.nowUs() + suspicions.maxTimeoutUs(members.livingCount()));
+            suspicions.restart(context.nowUs());
+            prober.abandon(context.nowUs());
+            lastTickUs = context.nowUs();
         }
     }
 
-    private void tick(Turn turn) {
-        tickedUs = turn.nowUs();
-        prober.tick(turn);
-        view.expire(turn);
-        contacts.tick(turn);
-        roster.forget(turn.nowUs()).forEach(trips::forget);
+    private void tick(EventContext context) {
+        lastTickUs = context.nowUs();
+        prober.tick(context);
+        updates.expireSuspicions(context);
+        stateExchange.tick(context);
+        members.forgetExpired(context.nowUs()).forEach(roundTrips::forget);
     }
 
-    private void received(Turn turn, MemberMessage message) {
+    private void handleMessage(EventContext context, MemberMessage message) {
         Life sender = message.sender();
-        if (!News.wellFormed(sender, message.at())) {
-            tally.drop(Drop.MALFORMED);
+        if (!News.isWellFormed(sender, message.at())) {
+            counters.drop(Drop.MALFORMED);
             return;
         }
-        if (sender.incarnation() > News.HIGHEST) {
-            tally.drop(Drop.INCARNATION);
+        if (sender.incarnation() > News.MAX_INCARNATION) {
+            counters.drop(Drop.INCARNATION);
             return;
         }
         if (message instanceof MemberMessage.Farewell) {
-            hear(turn, List.of(News.of(new Member(sender, message.at(), Standing.LEFT), sender.name())), false, message);
+            applyNews(context, List.of(News.of(new Member(sender, message.at(), Standing.LEFT), sender.name())), false, message);
             return;
         }
-        boolean believed = view.meet(turn, sender, message.at());
-        boolean listed = message instanceof MemberMessage.Sync;
+        boolean senderCurrent = updates.recordSender(context, sender, message.at());
+        boolean fromStateExchange = message instanceof MemberMessage.Sync;
         List<News> news = message.news();
-        if (!believed && !news.isEmpty()) {
-            news = news.stream().filter(n -> self.name().equals(n.name())).toList();
-            tally.drop(Drop.OUTDONE);
+        if (!senderCurrent && !news.isEmpty()) {
+            news = news.stream().filter(item -> self.name().equals(item.name())).toList();
+            counters.drop(Drop.OUTDONE);
         }
-        hear(turn, news, listed, message);
-        answer(turn, message);
+        applyNews(context, news, fromStateExchange, message);
+        answer(context, message);
     }
 
-    private void hear(Turn turn, List<News> all, boolean listed, MemberMessage message) {
-        boolean wasDead = false;
+    private void applyNews(EventContext context, List<News> all, boolean fromStateExchange, MemberMessage message) {
+        boolean wasHeldDead = false;
         for (News news : all) {
-            if (!news.wellFormed()) {
-                tally.drop(Drop.MALFORMED);
-            } else if (news.incarnation() > News.HIGHEST) {
-                tally.drop(Drop.INCARNATION);
+            if (!news.isWellFormed()) {
+                counters.drop(Drop.MALFORMED);
+            } else if (news.incarnation() > News.MAX_INCARNATION) {
+                counters.drop(Drop.INCARNATION);
             } else {
-                wasDead |= view.hear(turn, news, listed, message.sender().name());
+                wasHeldDead |= updates.applyNews(context, news, fromStateExchange, message.sender().name());
             }
         }
-        if (wasDead) {
-            contacts.owe(message.at());
+        if (wasHeldDead) {
+            stateExchange.scheduleExchange(message.at());
         }
     }
 
-    private void answer(Turn turn, MemberMessage message) {
+    private void answer(EventContext context, MemberMessage message) {
         Life sender = message.sender();
         if (message instanceof MemberMessage.Ping ping) {
             if (self.name().equals(ping.to())) {
-                turn.datagram(ping.at(),
-                        new MemberMessage.Ack(ping.seq(), self.name(), self.life(), self.at(), post.riding(sender.name(), sender)));
+                context.sendDatagram(ping.at(), new MemberMessage.Ack(ping.seq(), self.name(), self.life(), self.address(),
+                        composer.piggybackFor(sender.name(), sender)));
             } else {
-                tally.drop(Drop.MISDIRECTED);
+                counters.drop(Drop.MISDIRECTED);
             }
         } else if (message instanceof MemberMessage.PingRequest request) {
-            prober.asked(turn, request);
+            prober.startIndirectProbe(context, request);
         } else if (message instanceof MemberMessage.Ack ack) {
-            prober.acknowledged(turn, ack);
+            prober.handleAck(context, ack);
         } else if (message instanceof MemberMessage.Nack nack) {
-            prober.notAcknowledged(nack);
+            prober.handleNack(nack);
         } else if (message instanceof MemberMessage.Sync sync && !sync.answer()) {
-            turn.large(sync.at(), new MemberMessage.Sync(true, self.life(), self.at(), post.everything(Digest.chosen(sync.buckets())),
-                    sync.buckets()));
-        } else if (message instanceof MemberMessage.Check check) {
-            contacts.checked(turn, check);
+            context.sendOverConnection(sync.at(), new MemberMessage.Sync(true, self.life(), self.address(),
+                    composer.fullState(Digest.requestedBuckets(sync.buckets())), sync.buckets()));
+        } else if (message instanceof MemberMessage.Check offer) {
+            stateExchange.answerDigests(context, offer);
         }
     }
 
-    private void leave(Turn turn) {
+    private void leave(EventContext context) {
         self.leave();
-        contacts.leave(turn);
-        turn.changed(self.member());
+        stateExchange.leave(context);
+        context.publishChange(self.member());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/MembershipFigures.java
+++ b/fleet/src/main/java/walkpost/fleet/member/MembershipFigures.java
@@ -5,21 +5,21 @@
 import java.util.TreeMap;
 
 /**
- * What a {@link Membership} has counted since its start.
+ * The counters of a {@link Membership} since its start.
  *
- * @param pings of its own probes, those of helpers apart
- * @param acks its probes that were acknowledged, by the member itself or by way of a helper
- * @param nacks helpers that had no acknowledgement either
- * @param suspicions of others, its own and heard ones
- * @param refutations of what was said of itself
- * @param falseSuspicions suspicions, its own and heard ones, that the suspect refuted, or outlived by a restart
- * @param deaths others that came to be held for dead
- * @param leaves others that said good-bye
- * @param joins others that came, or came back
- * @param conflicts how often one name was met at two addresses at once: a process started twice, or moved before it was missed
- * @param standstills how often its process was found to have stood still
- * @param health how many steps it trusts itself less than usual, now (Lifeguard's local health multiplier, less one)
- * @param dropped messages and news that were not taken, by cause
+ * @param pings pings of this member's own probes, without those that it sent on behalf of others
+ * @param acks probes of this member that were acknowledged, directly or through a helper
+ * @param nacks nacks that helpers sent during probes of this member
+ * @param suspicions suspicions of other members, raised here or received
+ * @param refutations claims about this member that it refuted
+ * @param falseSuspicions suspicions, raised here or received, that ended because the suspect refuted them or restarted
+ * @param deaths transitions of other members to dead
+ * @param leaves other members that announced their departure
+ * @param joins other members that joined or came back
+ * @param conflicts detections of one name at two addresses at once, because a process was started twice or moved before it was missed
+ * @param standstills detected pauses of this member's process
+ * @param health the current local health score (Lifeguard's local health multiplier minus one)
+ * @param dropped messages and news that were rejected, by cause
  */
 public record MembershipFigures(long pings, long acks, long nacks, long suspicions, long refutations, long falseSuspicions, long deaths,
         long leaves, long joins, long conflicts, long standstills, int health, Map<Drop, Long> dropped) {
@@ -27,21 +27,21 @@
         dropped = Collections.unmodifiableMap(new TreeMap<>(dropped));
     }
 
-    /** Why something was not taken. */
+    /** The cause for which a message or news were rejected. */
     public enum Drop {
-        /** A field is missing, or longer than it may be. */
+        /** A field is missing, too long or out of its range. */
         MALFORMED,
-        /** An incarnation so high that nobody could outdo it for long. */
+        /** The incarnation is so high that it could hardly be superseded any more. */
         INCARNATION,
-        /** A ping for another member: somebody knows an old address. */
+        /** The ping was meant for another member: its sender knows an outdated address. */
         MISDIRECTED,
-        /** An acknowledgement that nobody waits for any more. */
+        /** The acknowledgement belongs to no pending ping. */
         LATE,
-        /** More members, or pings on others' behalf, than are kept. */
+        /** The limit of members, or of pending pings on behalf of others, is reached. */
         FULL,
-        /** News from a sender that is held for dead, or is outdone by a later life. */
+        /** The sender of the news is held for dead or is superseded by another life of its name. */
         OUTDONE,
-        /** Came after this member had left. */
+        /** The message arrived after this member had left. */
         LEFT
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/News.java
+++ b/fleet/src/main/java/walkpost/fleet/member/News.java
@@ -3,22 +3,24 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What one member tells another of a third. Short field names: a dozen ride on each ping.
+ * A claim about the state of a member, as members send it to each other. Its field names are short because a dozen claims are piggybacked
+ * on each ping.
  *
- * @param incarnation of the life that it is about
- * @param by who found it out; those who share a suspicion are told apart by it. Null is let pass and counts as nobody
+ * @param incarnation the incarnation of the member that the claim is about
+ * @param by the member that made the observation, by which the accusers of a suspected member are told apart. Null is valid and counts
+ *     as no accuser
  */
 public record News(@JsonProperty("n") String name, @JsonProperty("i") long incarnation, @JsonProperty("h") String host,
         @JsonProperty("p") int port, @JsonProperty("s") Standing standing, @JsonProperty("b") String by) {
-    /** The longest name and host, in bytes of UTF-8: with these, a message's own fields stay under 500 bytes. */
-    static final int LONGEST = 64;
+    /** The longest name and host in UTF-8. With this limit a message's fields other than its news take less than 500 bytes. */
+    static final int MAX_TEXT_BYTES = 64;
     /**
-     * Above this nothing is believed: whoever claimed more could no longer be outdone. An incarnation starts at the wall clock in ms
-     * (some 2^41), so honest ones stay far below.
+     * News with higher incarnations are rejected, because a member with such an incarnation could hardly be superseded any more. A first
+     * incarnation is the wall clock in milliseconds (about 2^41), so that honest incarnations stay far below this.
      */
-    static final long HIGHEST = 1L << 60;
-    /** What the fields take in CBOR, without the three texts: names of 2 bytes, heads, a long, a port, the longest standing. */
-    private static final int FRAME = 42;
+    static final long MAX_INCARNATION = 1L << 60;
+    /** The size in CBOR without the three texts: 2 bytes for each field name, the headers, a long, a port and the longest standing. */
+    private static final int FRAME_BYTES = 42;
 
     static News of(Member member, String by) {
         return new News(member.life().name(), member.life().incarnation(), member.address().host(), member.address().port(),
@@ -29,26 +31,26 @@
         return new Member(new Life(name, incarnation), new Address(host, port), standing);
     }
 
-    /** Returns the most that this takes in CBOR. */
-    int bytes() {
-        return FRAME + length(name) + length(host) + (by == null ? 0 : length(by));
+    /** Returns an upper bound for the size in CBOR. */
+    int maxCborBytes() {
+        return FRAME_BYTES + utf8Length(name) + utf8Length(host) + (by == null ? 0 : utf8Length(by));
     }
 
-    boolean wellFormed() {
-        return standing != null && (by == null || length(by) <= LONGEST)
-                && wellFormed(new Life(name, incarnation), new Address(host, port));
+    boolean isWellFormed() {
+        return standing != null && (by == null || utf8Length(by) <= MAX_TEXT_BYTES)
+                && isWellFormed(new Life(name, incarnation), new Address(host, port));
     }
 
-    static boolean wellFormed(Life life, Address at) {
-        return life != null && at != null && life.incarnation() >= 0 && fits(life.name()) && fits(at.host())
-                && at.port() > 0 && at.port() < 1 << 16;
+    static boolean isWellFormed(Life life, Address address) {
+        return life != null && address != null && life.incarnation() >= 0 && isValidText(life.name()) && isValidText(address.host())
+                && address.port() > 0 && address.port() < 1 << 16;
     }
 
-    private static boolean fits(String text) {
-        return text != null && !text.isEmpty() && text.length() <= LONGEST && length(text) <= LONGEST;
+    private static boolean isValidText(String text) {
+        return text != null && !text.isEmpty() && text.length() <= MAX_TEXT_BYTES && utf8Length(text) <= MAX_TEXT_BYTES;
     }
 
-    private static int length(String text) {
-        return text.chars().map(c -> c < 0x80 ? 1 : c < 0x800 ? 2 : 3).sum();
+    private static int utf8Length(String text) {
+        return text.chars().map(codeUnit -> codeUnit < 0x80 ? 1 : codeUnit < 0x800 ? 2 : 3).sum();
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/Prober.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Prober.java
@@ -2,147 +2,153 @@
 
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
+import walkpost.fleet.member.CounterTally.Counter;
 import walkpost.fleet.member.MembershipFigures.Drop;
-import walkpost.fleet.member.Tally.Of;
 
 /**
- * The failure detector: one ping a period, helpers asked where it is not acknowledged in time, and a suspicion where that was in vain.
- * Both the waiting and the period grow as this member trusts itself less. Owned by one {@link Membership}.
+ * The failure detector. It pings one member per period, asks helpers to ping that member if no acknowledgement arrives in time, and
+ * suspects the member if there is still none at the end of the period. The timeout and the period grow with the local health score.
+ * Owned by one {@link Membership}; not thread-safe.
  */
 final class Prober {
-    /** The longest wait for a direct acknowledgement, as a part of the period: the helpers need the rest. */
-    private static final double DIRECT = 0.6;
+    /** The longest timeout of a direct ping as a fraction of the period. The helpers need the rest of the period. */
+    private static final double MAX_DIRECT_TIMEOUT_FRACTION = 0.6;
 
     private static final class Probe {
         private final Member target;
         private final long seq;
         private final long sentUs;
-        private final long waitUs;
-        private int asked = -1;
+        private final long timeoutUs;
+        /** The number of helpers that were asked, or -1 before that. */
+        private int helpers = -1;
         private int nacks;
         private boolean acked;
 
-        Probe(Member target, long seq, long sentUs, long waitUs) {
+        Probe(Member target, long seq, long sentUs, long timeoutUs) {
             this.target = target;
             this.seq = seq;
             this.sentUs = sentUs;
-            this.waitUs = waitUs;
+            this.timeoutUs = timeoutUs;
         }
     }
 
     private final MemberSettings settings;
-    private final Identity self;
-    private final Rota rota;
-    private final View view;
-    private final Post post;
+    private final LocalMember self;
+    private final ProbeSchedule schedule;
+    private final MemberUpdates updates;
+    private final NewsComposer composer;
     private final LocalHealth health;
-    private final RoundTrips trips;
-    private final Relays relays;
-    private final Tally tally;
+    private final RoundTrips roundTrips;
+    private final IndirectProbes indirectProbes;
+    private final CounterTally counters;
     private Probe probe;
-    private long nextUs;
+    private long nextPeriodUs;
     private long seq;
 
-    Prober(MemberSettings settings, Identity self, Rota rota, View view, Post post, LocalHealth health, RoundTrips trips, Relays relays,
-            Tally tally, UniformRandomProvider random) {
+    Prober(MemberSettings settings, LocalMember self, ProbeSchedule schedule, MemberUpdates updates, NewsComposer composer,
+            LocalHealth health, RoundTrips roundTrips, IndirectProbes indirectProbes, CounterTally counters, UniformRandomProvider random) {
         this.settings = settings;
         this.self = self;
-        this.rota = rota;
-        this.view = view;
-        this.post = post;
+        this.schedule = schedule;
+        this.updates = updates;
+        this.composer = composer;
         this.health = health;
-        this.trips = trips;
-        this.relays = relays;
-        this.tally = tally;
-        // Numbers of a former life at this address must not fit.
+        this.roundTrips = roundTrips;
+        this.indirectProbes = indirectProbes;
+        this.counters = counters;
+        // A random start keeps acknowledgements of pings from an earlier life at this address from matching.
         seq = 1 + random.nextInt(Integer.MAX_VALUE);
-        nextUs = random.nextLong(settings.periodUs());
+        nextPeriodUs = random.nextLong(settings.periodUs());
     }
 
-    /** Sets the first period's end by the owner's clock: members that start together do not all ping at once. */
+    /** Schedules the first ping at a random time within a period, so that members that start together do not all ping at once. */
     void start(long nowUs) {
-        nextUs += nowUs;
+        nextPeriodUs += nowUs;
     }
 
-    void tick(Turn turn) {
-        relays.tick(turn);
-        if (probe != null && !probe.acked && probe.asked < 0 && turn.nowUs() >= probe.sentUs + probe.waitUs) {
-            askHelpers(turn);
+    void tick(EventContext context) {
+        indirectProbes.tick(context);
+        if (probe != null && !probe.acked && probe.helpers < 0 && context.nowUs() >= probe.sentUs + probe.timeoutUs) {
+            askHelpers(context);
         }
-        if (turn.nowUs() >= nextUs) {
-            conclude(turn);
-            begin(turn);
+        if (context.nowUs() >= nextPeriodUs) {
+            concludeProbe(context);
+            beginProbe(context);
         }
     }
 
-    /** Gives the probe that is under way up without a verdict: this process stood still. */
+    /** Drops the current probe without suspecting its target, because this process was paused. */
     void abandon(long nowUs) {
         probe = null;
-        nextUs = nowUs;
+        nextPeriodUs = nowUs;
     }
 
-    void asked(Turn turn, MemberMessage.PingRequest request) {
-        relays.start(turn, ++seq, request);
+    void startIndirectProbe(EventContext context, MemberMessage.PingRequest request) {
+        indirectProbes.start(context, ++seq, request);
     }
 
-    void acknowledged(Turn turn, MemberMessage.Ack ack) {
-        if (ack.seq() == Strangers.UNAWAITED || relays.acknowledged(turn, ack)) {
+    void handleAck(EventContext context, MemberMessage.Ack ack) {
+        if (ack.seq() == UnverifiedMembers.UNTRACKED_SEQ || indirectProbes.forwardAck(context, ack)) {
             return;
         }
         if (probe == null || probe.seq != ack.seq() || !probe.target.life().name().equals(ack.of())) {
-            tally.drop(Drop.LATE);
+            counters.drop(Drop.LATE);
             return;
         }
         if (!probe.acked) {
             probe.acked = true;
-            tally.count(Of.ACKS);
-            health.acknowledged();
+            counters.count(Counter.ACKS);
+            health.recordAck();
             if (ack.sender().name().equals(ack.of())) {
-                trips.measured(ack.of(), turn.nowUs() - probe.sentUs);
+                roundTrips.record(ack.of(), context.nowUs() - probe.sentUs);
             }
         }
     }
 
-    void notAcknowledged(MemberMessage.Nack nack) {
-        if (probe != null && probe.seq == nack.seq() && !probe.acked && probe.nacks < probe.asked) {
+    void handleNack(MemberMessage.Nack nack) {
+        if (probe != null && probe.seq == nack.seq() && !probe.acked && probe.nacks < probe.helpers) {
             probe.nacks++;
-            tally.count(Of.NACKS);
+            counters.count(Counter.NACKS);
         }
     }
 
-    private void begin(Turn turn) {
-        nextUs = turn.nowUs() + health.scaled(settings.periodUs());
-        Member target = rota.next();
+    private void beginProbe(EventContext context) {
+        nextPeriodUs = context.nowUs() + health.scaled(settings.periodUs());
+        Member target = schedule.nextTarget();
         if (target == null) {
             probe = null;
             return;
         }
         String name = target.life().name();
-        long longest = (long) (DIRECT * settings.periodUs());
-        long waitUs = Math.max(settings.pingFloorUs(), Math.min(longest, trips.boundUs(name, longest)));
-        probe = new Probe(target, ++seq, turn.nowUs(), health.scaled(waitUs));
-        tally.count(Of.PINGS);
-        turn.datagram(target.address(), new MemberMessage.Ping(seq, name, self.life(), self.at(), post.riding(name, null)));
+        long maxTimeoutUs = (long) (MAX_DIRECT_TIMEOUT_FRACTION * settings.periodUs());
+        long timeoutUs = Math.max(settings.pingFloorUs(), Math.min(maxTimeoutUs, roundTrips.boundUs(name, maxTimeoutUs)));
+        probe = new Probe(target, ++seq, context.nowUs(), health.scaled(timeoutUs));
+        counters.count(Counter.PINGS);
+        context.sendDatagram(target.address(),
+                new MemberMessage.Ping(seq, name, self.life(), self.address(), composer.piggybackFor(name, null)));
     }
 
-    private void askHelpers(Turn turn) {
+    private void askHelpers(EventContext context) {
         String name = probe.target.life().name();
-        List<Member> helpers = rota.some(settings.helpers(), name);
-        probe.asked = helpers.size();
+        List<Member> helpers = schedule.randomLiving(settings.helpers(), name);
+        probe.helpers = helpers.size();
         for (Member helper : helpers) {
-            turn.datagram(helper.address(), new MemberMessage.PingRequest(probe.seq, name, probe.target.address(), self.life(), self.at(),
-                    post.riding(helper.life().name(), null)));
+            context.sendDatagram(helper.address(), new MemberMessage.PingRequest(probe.seq, name, probe.target.address(), self.life(),
+                    self.address(), composer.piggybackFor(helper.life().name(), null)));
         }
     }
 
-    /** Helpers that said nothing, neither yes nor no, are this member's own trouble rather than its target's. */
-    private void conclude(Turn turn) {
+    /**
+     * Ends the current probe and suspects an unacknowledged target. Helpers that sent neither an ack nor a nack point to a fault of this
+     * member rather than of its target, so that each of them degrades the local health.
+     */
+    private void concludeProbe(EventContext context) {
         if (probe == null || probe.acked) {
             return;
         }
-        health.worse(probe.asked > 0 ? probe.asked - probe.nacks : 1);
-        if (!health.inDoubt(turn.nowUs())) {
-            view.suspect(turn, probe.target.life());
+        health.degrade(probe.helpers > 0 ? probe.helpers - probe.nacks : 1);
+        if (!health.isInDoubt(context.nowUs())) {
+            updates.suspect(context, probe.target.life());
         }
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/RoundTrips.java
+++ b/fleet/src/main/java/walkpost/fleet/member/RoundTrips.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * The measured round trip to each member, smoothed as TCP does (RFC 6298, section 2: the mean and four times its mean deviation), so
- * that it bounds most single ones from above. Only direct acknowledgements count. Owned by one {@link Membership}.
+ * The smoothed round-trip time to each member, as TCP computes it (RFC 6298, section 2). The bound is the mean plus four mean deviations,
+ * so that most single round trips are below it. Only direct acknowledgements are measured. Owned by one {@link Membership}; not
+ * thread-safe.
  */
 final class RoundTrips {
     private record Smoothed(long meanUs, long deviationUs) {
@@ -14,21 +15,22 @@
         }
     }
 
-    private final Map<String, Smoothed> trips = new LinkedHashMap<>();
+    private final Map<String, Smoothed> byName = new LinkedHashMap<>();
 
-    void measured(String name, long us) {
-        Smoothed old = trips.get(name);
-        trips.put(name, old == null ? new Smoothed(us, us / 2)
-                : new Smoothed(old.meanUs + (us - old.meanUs) / 8, old.deviationUs + (Math.abs(us - old.meanUs) - old.deviationUs) / 4));
+    void record(String name, long roundTripUs) {
+        Smoothed old = byName.get(name);
+        byName.put(name, old == null ? new Smoothed(roundTripUs, roundTripUs / 2)
+                : new Smoothed(old.meanUs + (roundTripUs - old.meanUs) / 8,
+                        old.deviationUs + (Math.abs(roundTripUs - old.meanUs) - old.deviationUs) / 4));
     }
 
-    /** Returns the bound in microseconds, or what is given where nothing has been measured. */
+    /** Returns the bound in microseconds, or {@code unmeasuredUs} if no round trip to this member has been measured. */
     long boundUs(String name, long unmeasuredUs) {
-        Smoothed trip = trips.get(name);
-        return trip == null ? unmeasuredUs : trip.boundUs();
+        Smoothed smoothed = byName.get(name);
+        return smoothed == null ? unmeasuredUs : smoothed.boundUs();
     }
 
     void forget(String name) {
-        trips.remove(name);
+        byName.remove(name);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/member/Standing.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Standing.java
@@ -1,4 +1,4 @@
 package walkpost.fleet.member;
 
-/** What a member is held to be. {@code LEFT} has said good-bye and is not missed. */
+/** The state of a member in another member's view. A member that is {@code LEFT} announced its departure, so it did not fail. */
 public enum Standing { ALIVE, SUSPECT, DEAD, LEFT }
--- a/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
@@ -50,13 +50,13 @@
                 actions::add);
         actions.clear();
         // Two holds all but n0, and both hold each other.
-        List<Member> held = two.members().stream().filter(m -> Roster.lives(m)).toList();
+        List<Member> held = two.members().stream().filter(m -> MemberTable.isLiving(m)).toList();
         one.handle(2, new MemberEvent.Received(at(2), new MemberMessage.Check(Digest.of(held), new Life("two", 1), at(2), List.of())),
                 actions::add);
         MemberMessage.Sync told = syncOf(actions);
-        assertThat(told.buckets()).containsExactly(Digest.bucket("n0"));
+        assertThat(told.buckets()).containsExactly(Digest.bucketOf("n0"));
         assertThat(told.news()).extracting(News::name).contains("n0")
-                .allMatch(name -> Digest.bucket(name) == Digest.bucket("n0"));
+                .allMatch(name -> Digest.bucketOf(name) == Digest.bucketOf("n0"));
         actions.clear();
         two.handle(3, new MemberEvent.Received(at(1), told), actions::add);
         assertThat(two.members()).anyMatch(m -> m.life().name().equals("n0"));
@@ -99,9 +99,9 @@
 
     @Test
     void garbledDigestsAndBucketsTellNothing() {
-        assertThat(Digest.differing(Digest.of(List.of()), List.of(1, 2)).isEmpty()).isTrue();
-        assertThat(Digest.chosen(List.of(-1, 64, 3)).stream().boxed().toList()).containsExactly(3);
-        assertThat(Digest.chosen(null).cardinality()).isEqualTo(Digest.BUCKETS);
+        assertThat(Digest.differingBuckets(Digest.of(List.of()), List.of(1, 2)).isEmpty()).isTrue();
+        assertThat(Digest.requestedBuckets(List.of(-1, 64, 3)).stream().boxed().toList()).containsExactly(3);
+        assertThat(Digest.requestedBuckets(null).cardinality()).isEqualTo(Digest.BUCKETS);
     }
 
     /** After a cut nobody waits for membership to find those again whom it must not do without. */
--- a/fleet/src/test/java/walkpost/fleet/member/MemberNewsTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/MemberNewsTest.java
@@ -109,12 +109,12 @@
     void incarnationsNearOverflowAreRefused() {
         tick(0);
         ping(new Life("x", Long.MAX_VALUE), at(3));
-        ping(OTHER, at(2), news("y", News.HIGHEST + 1, 4, Standing.ALIVE), news("me", Long.MAX_VALUE, 1, Standing.DEAD));
+        ping(OTHER, at(2), news("y", News.MAX_INCARNATION + 1, 4, Standing.ALIVE), news("me", Long.MAX_VALUE, 1, Standing.DEAD));
         assertThat(held("x")).isNull();
         assertThat(held("y")).isNull();
         assertThat(held("me").life()).isEqualTo(ME);
         assertThat(dropped(Drop.INCARNATION)).isEqualTo(3);
-        assertThatThrownBy(() -> new Membership(USUAL, new Life("x", News.HIGHEST), at(1), List.of(), 1))
+        assertThatThrownBy(() -> new Membership(USUAL, new Life("x", News.MAX_INCARNATION), at(1), List.of(), 1))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
@@ -159,13 +159,13 @@
     @Test
     void datagramsStayUnder1200BytesOfCborAndComeBackAsTheyWere() throws Exception {
         ObjectMapper cbor = new CBORMapper();
-        String name = "n".repeat(News.LONGEST);
-        Address far = new Address("1".repeat(News.LONGEST), 65_535);
-        Life sender = new Life(name, News.HIGHEST - 1);
+        String name = "n".repeat(News.MAX_TEXT_BYTES);
+        Address far = new Address("1".repeat(News.MAX_TEXT_BYTES), 65_535);
+        Life sender = new Life(name, News.MAX_INCARNATION - 1);
         for (int length : new int[] {1, 30, 62}) {
-            var gossip = new Gossip(4);
+            var gossip = new GossipQueue(4);
             for (int i = 10; i < 60; i++) {
-                gossip.add(News.of(new Member(new Life("m".repeat(length) + i, News.HIGHEST - 1), far, Standing.SUSPECT), name));
+                gossip.add(News.of(new Member(new Life("m".repeat(length) + i, News.MAX_INCARNATION - 1), far, Standing.SUSPECT), name));
             }
             News first = News.of(new Member(sender, far, Standing.SUSPECT), name);
             MemberMessage message = new MemberMessage.PingRequest(Long.MAX_VALUE, name, far, sender, far, gossip.take(first, 100));
@@ -190,19 +190,19 @@
     void aSuspicionShortensWithEachThatSharesIt() {
         var suspicions = new Suspicions(USUAL);
         suspicions.start("x", "a", 10, 0);
-        long longest = suspicions.longestUs(10);
+        long longest = suspicions.maxTimeoutUs(10);
         assertThat(longest).isEqualTo(30 * USUAL.periodUs());
-        assertThat(suspicions.expired(longest - 1)).isEmpty();
-        assertThat(suspicions.expired(longest)).containsExactly("x");
+        assertThat(suspicions.expiredNames(longest - 1)).isEmpty();
+        assertThat(suspicions.expiredNames(longest)).containsExactly("x");
         assertThat(suspicions.confirm("x", "a")).isFalse();
         assertThat(suspicions.confirm("x", "b")).isTrue();
-        assertThat(suspicions.expired(longest / 2 + longest / 10)).containsExactly("x");
+        assertThat(suspicions.expiredNames(longest / 2 + longest / 10)).containsExactly("x");
         assertThat(suspicions.confirm("x", "c")).isTrue();
         assertThat(suspicions.confirm("x", "d")).isTrue();
         assertThat(suspicions.confirm("x", "e")).as("enough share it").isFalse();
-        assertThat(suspicions.expired(5 * USUAL.periodUs() - 1)).isEmpty();
-        assertThat(suspicions.expired(5 * USUAL.periodUs())).containsExactly("x");
+        assertThat(suspicions.expiredNames(5 * USUAL.periodUs() - 1)).isEmpty();
+        assertThat(suspicions.expiredNames(5 * USUAL.periodUs())).containsExactly("x");
         suspicions.restart(100);
-        assertThat(suspicions.expired(longest + 99)).isEmpty();
+        assertThat(suspicions.expiredNames(longest + 99)).isEmpty();
     }
 }
