--- a/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
@@ -1,7 +1,7 @@
 package walkpost.fleet.member;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static walkpost.fleet.member.VirtualNetwork.at;
+import static walkpost.fleet.member.VirtualNetwork.address;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,109 +9,111 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** How members of a larger fleet compare what they hold before they tell it. */
+/** Tests how members of a fleet that is too large for full-state exchanges compare digests and send only the buckets that differ. */
 class DigestTest {
-    private static final MemberSettings USUAL = MemberSettings.defaults();
-    private static final int MANY = 60;
+    private static final MemberSettings SETTINGS = MemberSettings.defaults();
+    private static final int MEMBERS = 60;
 
     private static List<MemberMessage.Sync> syncs(VirtualNetwork network) {
         return network.sent.stream().map(MemberAction.SendTo::message).filter(MemberMessage.Sync.class::isInstance)
                 .map(MemberMessage.Sync.class::cast).toList();
     }
 
-    private static VirtualNetwork settled(long seed) {
-        var network = VirtualNetwork.of(MANY, seed, USUAL);
+    private static VirtualNetwork convergedNetwork(long seed) {
+        var network = VirtualNetwork.of(MEMBERS, seed, SETTINGS);
         network.run(200);
-        assertThat(network.agreed()).isTrue();
+        assertThat(network.hasConverged()).isTrue();
         network.sent = new ArrayList<>();
         return network;
     }
 
     @Test
-    void whereAllHoldTheSameNobodyTellsAnybodyAll() {
-        var network = settled(1);
+    void equalStatesAreNotExchanged() {
+        var network = convergedNetwork(1);
         network.run(240);
         assertThat(network.sent).anyMatch(sent -> sent.message() instanceof MemberMessage.Check && !sent.large());
         assertThat(syncs(network)).isEmpty();
     }
 
-    /** One that is asked holds one name less: what goes both ways is that name's bucket and no other. */
+    /** One member lacks a single name. Both directions of the exchange must carry the bucket of that name and no other. */
     @Test
-    void whatDiffersIsToldAndNoMore() {
-        var one = new Membership(USUAL, new Life("one", 1), at(1), List.of(), 1);
-        var two = new Membership(USUAL, new Life("two", 1), at(2), List.of(), 2);
-        List<News> all = Stream.iterate(0, i -> i + 1).limit(MANY)
-                .map(i -> News.of(new Member(new Life("n" + i, 1), at(10 + i), Standing.ALIVE), "n0")).toList();
+    void onlyDifferingBucketsAreExchanged() {
+        var one = new Membership(SETTINGS, new Life("one", 1), address(1), List.of(), 1);
+        var two = new Membership(SETTINGS, new Life("two", 1), address(2), List.of(), 2);
+        List<News> all = Stream.iterate(0, i -> i + 1).limit(MEMBERS)
+                .map(i -> News.of(new Member(new Life("n" + i, 1), address(10 + i), Standing.ALIVE), "n0")).toList();
         var actions = new ArrayList<MemberAction>();
         one.handle(0, new MemberEvent.Tick(), actions::add);
         two.handle(0, new MemberEvent.Tick(), actions::add);
-        one.handle(1, new MemberEvent.Received(at(2), new MemberMessage.Sync(true, new Life("two", 1), at(2), all)), actions::add);
-        two.handle(1, new MemberEvent.Received(at(1), new MemberMessage.Sync(true, new Life("one", 1), at(1), all.subList(1, MANY))),
-                actions::add);
+        one.handle(1, new MemberEvent.Received(address(2),
+                new MemberMessage.Sync(true, new Life("two", 1), address(2), all)), actions::add);
+        two.handle(1, new MemberEvent.Received(address(1),
+                new MemberMessage.Sync(true, new Life("one", 1), address(1), all.subList(1, MEMBERS))), actions::add);
         actions.clear();
-        // Two holds all but n0, and both hold each other.
-        List<Member> held = two.members().stream().filter(m -> MemberTable.isLiving(m)).toList();
-        one.handle(2, new MemberEvent.Received(at(2), new MemberMessage.Check(Digest.of(held), new Life("two", 1), at(2), List.of())),
-                actions::add);
-        MemberMessage.Sync told = syncOf(actions);
-        assertThat(told.buckets()).containsExactly(Digest.bucketOf("n0"));
-        assertThat(told.news()).extracting(News::name).contains("n0")
+        // Two knows all names except n0, and one and two know each other.
+        List<Member> livingAtTwo = two.members().stream().filter(member -> MemberTable.isLiving(member)).toList();
+        one.handle(2, new MemberEvent.Received(address(2),
+                new MemberMessage.Check(Digest.of(livingAtTwo), new Life("two", 1), address(2), List.of())), actions::add);
+        MemberMessage.Sync request = syncOf(actions);
+        assertThat(request.buckets()).containsExactly(Digest.bucketOf("n0"));
+        assertThat(request.news()).extracting(News::name).contains("n0")
                 .allMatch(name -> Digest.bucketOf(name) == Digest.bucketOf("n0"));
         actions.clear();
-        two.handle(3, new MemberEvent.Received(at(1), told), actions::add);
-        assertThat(two.members()).anyMatch(m -> m.life().name().equals("n0"));
+        two.handle(3, new MemberEvent.Received(address(1), request), actions::add);
+        assertThat(two.members()).anyMatch(member -> member.life().name().equals("n0"));
         MemberMessage.Sync answer = syncOf(actions);
         assertThat(answer.answer()).isTrue();
-        assertThat(answer.buckets()).isEqualTo(told.buckets());
+        assertThat(answer.buckets()).isEqualTo(request.buckets());
     }
 
     private static MemberMessage.Sync syncOf(List<MemberAction> actions) {
-        return actions.stream().filter(MemberAction.SendTo.class::isInstance).map(a -> ((MemberAction.SendTo) a).message())
+        return actions.stream().filter(MemberAction.SendTo.class::isInstance).map(action -> ((MemberAction.SendTo) action).message())
                 .filter(MemberMessage.Sync.class::isInstance).map(MemberMessage.Sync.class::cast).findFirst().orElseThrow();
     }
 
     @Test
-    void whatGossipHasMissedIsFoundByComparing() {
-        var network = settled(2);
-        // Nobody hears of its new life but the one that it asks.
-        restartsUnheard(network);
-        assertThat(network.until(240, network::agreed)).isLessThanOrEqualTo(240);
+    void aRestartThatGossipMissedIsFoundByDigests() {
+        var network = convergedNetwork(2);
+        // Only the member that n7 joins through receives its new incarnation.
+        restartUnheard(network);
+        assertThat(network.periodsUntil(240, network::hasConverged)).isLessThanOrEqualTo(240);
     }
 
-    /** A member begins anew while its datagrams to all but one are lost. */
-    private static void restartsUnheard(VirtualNetwork network) {
+    /** Restarts n7 while datagrams between it and all members other than n3 are lost. */
+    private static void restartUnheard(VirtualNetwork network) {
         network.kill(network.node(7));
-        network.cut = (from, to) -> from.equals(at(7)) && !to.equals(at(3)) || to.equals(at(7)) && !from.equals(at(3));
-        network.start("n7", 50_000, at(7), List.of(at(3)));
+        network.isCut = (from, to) -> from.equals(address(7)) && !to.equals(address(3))
+                || to.equals(address(7)) && !from.equals(address(3));
+        network.start("n7", 50_000, address(7), List.of(address(3)));
         network.run(3);
-        network.cut = (from, to) -> false;
+        network.isCut = (from, to) -> false;
     }
 
-    /** A restart is not to cost a message for each member: some are told, and tell the others. */
+    /** Guards against a restart that costs a message for each member: a leaving member informs some, and they gossip it to the others. */
     @Test
-    void whoLeavesTellsSomeAndAllHearOfIt() {
-        var network = settled(4);
-        network.give(network.node(9), new MemberEvent.Leave());
+    void aDepartureIsSentToSomeMembersAndReachesAll() {
+        var network = convergedNetwork(4);
+        network.handle(network.node(9), new MemberEvent.Leave());
         assertThat(network.sent.stream().filter(sent -> sent.message() instanceof MemberMessage.Farewell)).hasSize(32);
-        assertThat(network.until(30, () -> network.nodes.values().stream().filter(node -> !node.name.equals("n9"))
+        assertThat(network.periodsUntil(30, () -> network.nodes.values().stream().filter(node -> !node.name.equals("n9"))
                 .allMatch(node -> node.holds("n9", Standing.LEFT)))).isLessThanOrEqualTo(30);
     }
 
     @Test
-    void garbledDigestsAndBucketsTellNothing() {
+    void invalidDigestsAndBucketsAreIgnored() {
         assertThat(Digest.differingBuckets(Digest.of(List.of()), List.of(1, 2)).isEmpty()).isTrue();
         assertThat(Digest.requestedBuckets(List.of(-1, 64, 3)).stream().boxed().toList()).containsExactly(3);
         assertThat(Digest.requestedBuckets(null).cardinality()).isEqualTo(Digest.BUCKETS);
     }
 
-    /** After a cut nobody waits for membership to find those again whom it must not do without. */
+    /** After a network partition the callers must be able to contact required peers before membership has found them again. */
     @Test
-    void someAreToldAsPeersWhateverIsHeldOfThem() {
-        var network = VirtualNetwork.of(5, 3, USUAL);
+    void requiredPeersAreReturnedWhateverTheirState() {
+        var network = VirtualNetwork.of(5, 3, SETTINGS);
         network.kill(network.node(2));
-        network.until(100, () -> network.everybodyHolds("n2", Standing.DEAD));
-        Membership machine = network.node(0).machine;
-        assertThat(machine.roundTripUs()).doesNotContainKey("n2");
-        assertThat(machine.roundTripUs(Set.of("n2", "nobody"))).containsKeys("n1", "n2").doesNotContainKey("nobody");
+        network.periodsUntil(100, () -> network.allOthersHold("n2", Standing.DEAD));
+        Membership membership = network.node(0).membership;
+        assertThat(membership.roundTripUs()).doesNotContainKey("n2");
+        assertThat(membership.roundTripUs(Set.of("n2", "nobody"))).containsKeys("n1", "n2").doesNotContainKey("nobody");
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/member/VirtualNetwork.java
+++ b/fleet/src/test/java/walkpost/fleet/member/VirtualNetwork.java
@@ -12,159 +12,166 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Members on one clock and a network that loses, delays, doubles and reorders datagrams, all from one seed. What is large arrives. */
+/**
+ * A simulated network of members on one virtual clock. It loses, delays, duplicates and reorders datagrams at random, all from one seed.
+ * Large messages are delayed only, because they go over connections. Single-threaded.
+ */
 final class VirtualNetwork {
-    static final long PERIOD = MemberSettings.defaults().periodUs();
-    private static final long TICK = 50_000;
+    static final long PERIOD_US = MemberSettings.defaults().periodUs();
+    private static final long TICK_US = 50_000;
 
-    /** A change of what one member holds of another, or of itself. */
-    record Change(long atUs, String at, Member member) { }
+    /** A change in the view that one member, the observer, has of another member or of itself. */
+    record Change(long timeUs, String observer, Member member) { }
 
-    /** One process: a member, and whether it is stopped. What comes for a stopped one waits in its sockets. */
+    /** A process with one member. Messages that arrive while the process is paused wait in its sockets. */
     static final class Node {
-        final Membership machine;
+        final Membership membership;
         final Address address;
         final String name;
-        private final List<Runnable> waiting = new ArrayList<>();
-        private boolean stopped;
-        private boolean gone;
+        private final List<Runnable> waitingMessages = new ArrayList<>();
+        private boolean paused;
+        private boolean killed;
 
-        private Node(Membership machine, Life life, Address address) {
-            this.machine = machine;
+        private Node(Membership membership, Life life, Address address) {
+            this.membership = membership;
             this.address = address;
             name = life.name();
         }
 
-        Member held(String other) {
-            return machine.members().stream().filter(m -> m.life().name().equals(other)).findFirst().orElse(null);
+        Member viewOf(String other) {
+            return membership.members().stream().filter(member -> member.life().name().equals(other)).findFirst().orElse(null);
         }
 
         boolean holds(String other, Standing standing) {
-            Member member = held(other);
+            Member member = viewOf(other);
             return member != null && member.standing() == standing;
         }
     }
 
-    private record Due(long atUs, long order, Runnable what) { }
+    private record ScheduledTask(long timeUs, long order, Runnable task) { }
 
     final List<Change> changes = new ArrayList<>();
-    /** Whatever is sent, from when on this is set. */
+    /** Null, or a list that collects all messages sent from now on. */
     List<MemberAction.SendTo> sent;
     final Map<Address, Node> nodes = new LinkedHashMap<>();
-    double loss;
-    BiPredicate<Address, Address> cut = (from, to) -> false;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingLong(Due::atUs).thenComparingLong(Due::order));
+    /** The probability that a datagram is lost. */
+    double lossRate;
+    BiPredicate<Address, Address> isCut = (from, to) -> false;
+    private final PriorityQueue<ScheduledTask> queue =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::timeUs).thenComparingLong(ScheduledTask::order));
     private final UniformRandomProvider random;
     private final MemberSettings settings;
     private long nowUs;
     private long order;
-    private int born;
+    private int startedNodes;
 
     VirtualNetwork(long seed, MemberSettings settings) {
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.settings = settings;
     }
 
-    /** Returns a network with so many members, n0 and up, all of which know of each other. */
+    /** Returns a network of members named n0 and up that all know each other. */
     static VirtualNetwork of(int members, long seed, MemberSettings settings) {
         var network = new VirtualNetwork(seed, settings);
         for (int i = 0; i < members; i++) {
-            network.start("n" + i, 1_000 + i, at(i), List.of(at(0), at(1)));
+            network.start("n" + i, 1_000 + i, address(i), List.of(address(0), address(1)));
         }
         network.run(20);
         network.changes.clear();
         return network;
     }
 
-    static Address at(int host) {
+    static Address address(int host) {
         return new Address("127.1.0." + host, 7_401);
     }
 
     Node node(int host) {
-        return nodes.get(at(host));
+        return nodes.get(address(host));
     }
 
     long nowUs() {
         return nowUs;
     }
 
-    Node start(String name, long incarnation, Address at, List<Address> seeds) {
+    Node start(String name, long incarnation, Address address, List<Address> seeds) {
         Life life = new Life(name, incarnation);
-        Node node = new Node(new Membership(settings, life, at, seeds, random.nextLong()), life, at);
-        nodes.put(at, node);
-        born++;
-        long phase = born * 7_919L % TICK;
-        schedule(phase, () -> ticks(node));
+        Node node = new Node(new Membership(settings, life, address, seeds, random.nextLong()), life, address);
+        nodes.put(address, node);
+        startedNodes++;
+        long firstTickDelayUs = startedNodes * 7_919L % TICK_US;
+        schedule(firstTickDelayUs, () -> tickRepeatedly(node));
         return node;
     }
 
-    /** Ends a process at once: nobody is told. */
+    /** Kills a process, so that it cannot announce its departure. */
     void kill(Node node) {
-        node.gone = true;
+        node.killed = true;
         nodes.remove(node.address, node);
     }
 
-    void stop(Node node) {
-        node.stopped = true;
+    void pause(Node node) {
+        node.paused = true;
     }
 
-    /** Lets a stopped process go on: what waited in its sockets comes first. */
-    void goOn(Node node) {
-        node.stopped = false;
-        List<Runnable> waited = List.copyOf(node.waiting);
-        node.waiting.clear();
-        waited.forEach(Runnable::run);
+    /** Resumes a paused process, which first handles the messages that waited in its sockets. */
+    void resume(Node node) {
+        node.paused = false;
+        List<Runnable> messages = List.copyOf(node.waitingMessages);
+        node.waitingMessages.clear();
+        messages.forEach(Runnable::run);
     }
 
-    void give(Node node, MemberEvent event) {
-        if (!node.gone) {
-            node.machine.handle(nowUs, event, action -> carryOut(node, action));
+    void handle(Node node, MemberEvent event) {
+        if (!node.killed) {
+            node.membership.handle(nowUs, event, action -> carryOut(node, action));
         }
     }
 
     void run(int periods) {
-        until(periods, () -> false);
+        periodsUntil(periods, () -> false);
     }
 
-    /** Runs until something holds; returns after how many periods, or the given number and one where it never did. */
-    int until(int periods, BooleanSupplier holds) {
+    /** Runs until a condition holds. Returns the number of periods that it took, or {@code periods + 1} if it did not hold in time. */
+    int periodsUntil(int periods, BooleanSupplier condition) {
         for (int i = 0; i <= periods; i++) {
-            if (holds.getAsBoolean()) {
+            if (condition.getAsBoolean()) {
                 return i;
             }
-            long end = nowUs + PERIOD;
-            while (!queue.isEmpty() && queue.peek().atUs <= end) {
-                Due due = queue.poll();
-                nowUs = due.atUs;
-                due.what.run();
+            long endUs = nowUs + PERIOD_US;
+            while (!queue.isEmpty() && queue.peek().timeUs <= endUs) {
+                ScheduledTask next = queue.poll();
+                nowUs = next.timeUs;
+                next.task.run();
             }
-            nowUs = end;
+            nowUs = endUs;
         }
         return periods + 1;
     }
 
-    /** Returns whether each member holds everyone who runs for alive, and nobody else. */
-    boolean agreed() {
-        return nodes.values().stream().allMatch(n -> n.machine.members().stream().filter(m -> m.standing() == Standing.ALIVE).count()
-                == nodes.size() && nodes.values().stream().allMatch(o -> n.holds(o.name, Standing.ALIVE)));
+    /** Returns whether each member holds exactly the running members for alive. */
+    boolean hasConverged() {
+        return nodes.values().stream().allMatch(node -> node.membership.members().stream()
+                .filter(member -> member.standing() == Standing.ALIVE).count() == nodes.size()
+                && nodes.values().stream().allMatch(other -> node.holds(other.name, Standing.ALIVE)));
     }
 
-    boolean everybodyHolds(String name, Standing standing) {
-        return nodes.values().stream().filter(n -> !n.name.equals(name)).allMatch(n -> n.holds(name, standing));
+    /** Returns whether all members other than the named one hold it to be in this state. */
+    boolean allOthersHold(String name, Standing standing) {
+        return nodes.values().stream().filter(node -> !node.name.equals(name)).allMatch(node -> node.holds(name, standing));
     }
 
-    long deaths(Predicate<Change> which) {
-        return changes.stream().filter(c -> c.member.standing() == Standing.DEAD).filter(which).count();
+    long countDeaths(Predicate<Change> filter) {
+        return changes.stream().filter(change -> change.member.standing() == Standing.DEAD).filter(filter).count();
     }
 
-    private void ticks(Node node) {
-        if (node.gone) {
+    private void tickRepeatedly(Node node) {
+        if (node.killed) {
             return;
         }
-        if (!node.stopped) {
-            give(node, new MemberEvent.Tick());
+        if (!node.paused) {
+            handle(node, new MemberEvent.Tick());
         }
-        schedule(TICK, () -> ticks(node));
+        schedule(TICK_US, () -> tickRepeatedly(node));
     }
 
     private void carryOut(Node node, MemberAction action) {
@@ -176,9 +183,9 @@
         if (sent != null) {
             sent.add(send);
         }
-        int copies = send.large() ? 1 : random.nextDouble() < loss ? 0 : random.nextDouble() < loss / 10 ? 2 : 1;
+        int copies = send.large() ? 1 : random.nextDouble() < lossRate ? 0 : random.nextDouble() < lossRate / 10 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            if (!cut.test(node.address, send.to())) {
+            if (!isCut.test(node.address, send.to())) {
                 schedule(100 + random.nextLong(10_000), () -> arrive(node.address, send));
             }
         }
@@ -189,15 +196,15 @@
         if (node == null) {
             return;
         }
-        Runnable read = () -> give(node, new MemberEvent.Received(from, send.message()));
-        if (node.stopped) {
-            node.waiting.add(read);
+        Runnable delivery = () -> handle(node, new MemberEvent.Received(from, send.message()));
+        if (node.paused) {
+            node.waitingMessages.add(delivery);
         } else {
-            read.run();
+            delivery.run();
         }
     }
 
-    private void schedule(long afterUs, Runnable what) {
-        queue.add(new Due(nowUs + afterUs, order++, what));
+    private void schedule(long afterUs, Runnable task) {
+        queue.add(new ScheduledTask(nowUs + afterUs, order++, task));
     }
 }
