--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -24,7 +24,7 @@
     /** The state of a backend by the server list. */
     enum BackendState { READY, DRAINING, GONE }
 
-    /** What a list update has: changes, a full list, the list stored before a restart, or nothing because the call failed. */
+    /** What a list update contains: changes, a full list, the list stored before a restart, or nothing because the call failed. */
     enum ListKind { DELTA, FULL, CACHED, FAILED }
 
     /** How an attempt ended. */
@@ -138,10 +138,10 @@
     /** The server list has changed, or a call for it failed. A backend that is missing from a full list is gone. */
     record ListUpdate(ListKind kind, List<Backend> backends) implements Event { }
 
-    /** The settings have changed. A request that has arrived keeps the settings with which it came. */
+    /** The settings have changed. A request that has arrived before keeps the settings in force at its arrival. */
     record SettingsChanged(Settings settings) implements Event { }
 
-    /** The operators exclude a backend: until {@link Included} it gets no further attempts, whatever the list says. */
+    /** The operators exclude a backend: until {@link Included} it gets no further attempts, even if the list says that it is ready. */
     record Excluded(String backend) implements Event { }
 
     /** The operators include a backend again. It was restarted meanwhile, whether or not the list says so already. */
@@ -161,10 +161,10 @@
     /** A streamed request has been sent in full: its time starts now, and {@code leftUs} is left until the client's deadline. */
     record RequestStreamEnded(String id, int attempt, long leftUs) implements Event { }
 
-    /** An attempt's response has begun to stream to the client: it is the final answer from here on, whatever becomes of the stream. */
+    /** An attempt's response has begun to stream to the client: it is the final answer from here on, even if the stream breaks off. */
     record ResponseStreamStarted(String id, int attempt) implements Event { }
 
-    /** An attempt has ended; comes once for each attempt. {@code last} says that the request has its final answer, now or before. */
+    /** An attempt has ended; reported once for each attempt. {@code last} says that the request has its final answer, now or before. */
     record AttemptEnded(String id, int attempt, String backend, Outcome outcome, long latencyUs, boolean last)
             implements Event { }
 
@@ -181,7 +181,7 @@
     sealed interface Action permits Send, Refuse, Fail, Cancel, Release, SetTimer, Probe, Watch, Fetch, Log { }
 
     /**
-     * Sends an attempt. The attempts of a request are numbered from 0, in the order sent. If a connection comes up late, no part of the
+     * Sends an attempt. The attempts of a request are numbered from 0, in the order sent. If the connection is established late, no part of the
      * attempt may be written after {@code sendByUs} on the proxy's clock.
      */
     record Send(String id, String backend, long timeoutUs, long sendByUs) implements Action {
--- a/proxy/src/main/java/walkpost/ConcurrencyLimit.java
+++ b/proxy/src/main/java/walkpost/ConcurrencyLimit.java
@@ -2,8 +2,8 @@
 
 /**
  * Limits the attempts that this proxy may have in flight. The limit is the largest of three: the attempts that are answered in a part of
- * the shortest aim, those that keep the servers busy, and a minimum by the servers' cores. The rate of answers that this rests on is kept
- * here too. Used by the thread of its {@link Policy} only. All times are on the proxy's clock, in microseconds.
+ * the shortest aim, those that keep the servers busy, and a minimum by the servers' cores. This class also measures the rate of answers
+ * from which the limit is computed. Used by the thread of its {@link Policy} only. All times are on the proxy's clock, in microseconds.
  */
 final class ConcurrencyLimit {
     /** At the rate of answers, the attempts in flight may take this part of the shortest aim, and the queued requests as much again. */
@@ -35,6 +35,7 @@
     private double answersPerUsAndServer;
     private int refreshes;
 
+    /** Applies the settings; the state so far is kept. */
     void configure(int newBalancers, long shortestAimUs, long newRefreshPeriodUs) {
         balancers = newBalancers;
         targetUs = (long) (TARGET_PER_AIM * shortestAimUs);
@@ -107,7 +108,7 @@
         return answerRate() * unloadedUs;
     }
 
-    /** Returns the answers in a microsecond that this proxy has had from one server in the mean. */
+    /** Returns the mean number of answers in a microsecond that this proxy has had from one server. */
     double answersPerUsAndServer() {
         return answersPerUsAndServer;
     }
--- a/proxy/src/main/java/walkpost/DiscoveryBackOff.java
+++ b/proxy/src/main/java/walkpost/DiscoveryBackOff.java
@@ -2,7 +2,7 @@
 
 /**
  * The back-off after a failed call for the list of servers: exponential, with jitter, so that the proxies do not call in step. They share
- * one discovery service that bears only a few calls a second. Stateless.
+ * one discovery service that can answer only a few calls a second. Stateless.
  */
 public final class DiscoveryBackOff {
     /**
--- a/proxy/src/main/java/walkpost/OutlierDetector.java
+++ b/proxy/src/main/java/walkpost/OutlierDetector.java
@@ -16,8 +16,8 @@
     private long ejectedUntil = Long.MIN_VALUE;
 
     /**
-     * Returns whether a further attempt may be sent: the ejection is over, and the attempts in flight, if any, have not been silent for
-     * {@code silenceUs}. On probation no other attempt may be in flight.
+     * Returns whether a further attempt may be sent: any ejection is over, and the attempts in flight, if there are any, have not
+     * been silent for {@code silenceUs}. On probation no other attempt may be in flight.
      */
     boolean isEligible(long now, long silenceUs) {
         return now >= ejectedUntil && (inFlight == 0 || ejectionUs == 0 && now - lastSignalAt < silenceUs);
@@ -27,7 +27,7 @@
         lastSignalAt = inFlight++ == 0 ? now : lastSignalAt;
     }
 
-    /** Counts the end of an attempt; {@code signal} says whether the server, or its network, gave a sign of itself. */
+    /** Counts the end of an attempt; {@code signal} says whether the server or its network has responded in any way. */
     void attemptEnded(long now, boolean signal) {
         inFlight--;
         lastSignalAt = signal ? now : lastSignalAt;
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -20,15 +20,15 @@
  * (virtualTime + 1) / weight, where weight = c / (sum of all c), and c = 1 / (response time of the server's kind, as this proxy has
  * measured it). The virtual time of a server is the number of requests sent to it since the last refresh of the weights.
  *
- * <p>Comments refer to the rules by number:
- * <ol>
+ * <p>It keeps these rules:
+ * <ul>
  * <li>Every request gets one final answer, before its client's deadline.
  * <li>A request that may have run is sent again only if its class allows that.
  * <li>A server that drains or is gone gets no further attempts.
  * <li>All proxies together do not overload a cold server.
  * <li>{@link Outcome#FULL} proves that a request did not run, unless {@link Rules} says otherwise.
  * <li>No idle connection is kept to a server that drains or is gone.
- * </ol>
+ * </ul>
  *
  * <p>Not thread-safe: one thread makes all calls. It does no I/O, and equal settings, seed and events give equal actions. Names that
  * end in {@code At} or {@code Until}, and deadlines, are times on the proxy's clock in microseconds.
@@ -54,7 +54,7 @@
      * work on them while the proxy counts them as ended.
      */
     private static final double TIMEOUT_PER_TIME_TO_AIM = 2;
-    /** Each takes 250 bytes. The bound is high enough: no ejection lasts as long as this number of failures takes to come about. */
+    /** Each flow takes 250 bytes. The bound is high enough: every ejection has ended before this number of other flows can fail. */
     private static final int MAX_EJECTED_FLOWS = 16_384;
 
     private Settings settings;
@@ -272,7 +272,7 @@
             server.zoneFactor = settings.zone().equals(backend.zone()) ? OWN_ZONE_FACTOR : 1;
             server.kindStats = statsByKind.computeIfAbsent(String.valueOf(backend.kind()), name -> new ResponseTimeStats());
             if (server.ready) {
-                // Removes only servers that are present: a vain search for each entry of a full list would take quadratic time.
+                // Removes only servers that are present: searching in vain for each entry of a full list would take quadratic time.
                 servers.remove(server);
             }
             server.ready = backend.state() == BackendState.READY && !excludedIds.contains(backend.id());
@@ -290,7 +290,7 @@
     }
 
     /**
-     * Excludes a server until {@link #include}. Its state is kept, because the list may go on naming it, and need not name it anew when the
+     * Excludes a server until {@link #include}. Its state is kept, because discovery does not have to list the server again when the
      * exclusion ends.
      */
     private void exclude(String id) {
@@ -313,7 +313,7 @@
         }
     }
 
-    /** Releases the idle connections to a server that is not ready (rule 6), because no request will use them. */
+    /** Releases the idle connections to a server that is not ready, because no request will use them. */
     private void releaseUnlessReady(Server server) {
         if (!server.ready) {
             actions.accept(new Release(server.id));
@@ -338,8 +338,8 @@
     }
 
     /**
-     * Returns whether outlier detection lets a server have a request. It guards against servers that hang, are dead or slow, or fail
-     * for some flows only, whatever the cause.
+     * Returns whether outlier detection allows sending a request to a server. It guards against servers that hang, are dead or slow, or
+     * fail for some flows only.
      */
     private boolean isEligible(Server server, Request request) {
         long silenceUs = (long) Math.max(2 * concurrencyLimit.targetUs(), server.kindStats.meanUs());
@@ -422,7 +422,8 @@
         double earliestVirtualDeadline = Double.POSITIVE_INFINITY;
         // Below 0 if fewer than a quarter of the servers considered are eligible.
         int eligibilityScore = 0;
-        // A proxy uses only its part of the servers. One far busier than others uses one server for each attempt in flight in the mean.
+        // A proxy uses only its part of the servers. One that is far busier than others uses as many servers as it has attempts in flight
+        // on average.
         double warmServersLeft = Math.max(PROXIES_PER_SERVER * servers.size() / settings.balancers(),
                 concurrencyLimit.unloadedConcurrency());
         for (Server server : servers) {
@@ -437,8 +438,8 @@
             virtualDeadline *= request.attempts.isEmpty()
                     || request.attempts.stream().noneMatch(attempt -> attempt.server == server) ? 1 : 1e6;
             virtualDeadline *= eligible ? 1 : 1e18;
-            // A cold server may be used by every proxy. Only a few have it in their part, and it would get nothing of what the other
-            // proxies may send it.
+            // Every proxy may use a cold server. Only a few proxies have it in their part, and without this exception it would not get the
+            // requests that its slow start allows to the others.
             boolean mayUse = !eligible || warmServersLeft > 0 || warmth(server) < 1;
             if (mayUse && virtualDeadline < earliestVirtualDeadline && hasCapacity(server, request) && slowStartAllows(server)) {
                 best = server;
@@ -500,7 +501,7 @@
                 || server.workInFlight + request.size <= Math.ceil(server.weight * (workInFlight + request.size));
     }
 
-    /** Returns whether a request may be sent to a server: one that may have run goes only where its class lets it run again (rule 2). */
+    /** Returns whether a request may be sent to a server: one that may have run goes only where its class lets it run again. */
     private boolean mayBeSentTo(Server server, Request request) {
         return request.attempts.isEmpty() || request.requestClass.effect() == Effect.SAFE || request.attempts.stream().allMatch(attempt ->
                 !mayHaveRun(attempt) || request.requestClass.effect() == Effect.KEYED
@@ -510,7 +511,7 @@
 
     /**
      * Returns whether an attempt may have had an effect. If the rules say that {@link Outcome#FULL} is no proof of the contrary, it
-     * counts as any other failure, for retries and refusals alike (rule 5).
+     * counts as any other failure, for retries and refusals alike.
      */
     private boolean mayHaveRun(Attempt attempt) {
         return attempt.outcome == null || !attempt.outcome.neverRan()
@@ -529,15 +530,15 @@
         return server.slowStart.warmth(now, rules);
     }
 
-    /** Returns the servers' concurrency as a part of what it is when all are warm. Nearly always none is cold, and the part is 1. */
+    /** Returns the servers' concurrency as a part of their concurrency when all are warm; 1 in the usual case that none is cold. */
     private double meanConcurrencyPart() {
         return now >= allWarmAt ? 1
                 : servers.stream().mapToDouble(server -> ConcurrencyLimit.concurrencyPart(warmth(server))).average().orElse(1);
     }
 
     /**
-     * Returns whether the slow start of a server allows one more request (rule 4). The server's capacity is an estimate: what servers of
-     * its weight have answered to this proxy, or one request at a time over all proxies if that is more.
+     * Returns whether the slow start of a server allows one more request. The server's capacity is an estimate: the rate at which servers
+     * of its weight have answered this proxy, or one request at a time over all proxies if that is more.
      */
     private boolean slowStartAllows(Server server) {
         if (warmth(server) >= 1) {
@@ -557,7 +558,7 @@
         // A slow answer is worth waiting for, but not long past its aim, because a silent attempt uses up concurrency that others need.
         long untilLateUs = now < request.aimAt ? (long) (TIMEOUT_PER_TIME_TO_AIM * (request.aimAt - now)) : Long.MAX_VALUE;
         var attempt = new Attempt(request, server, now, Math.min(request.deadline - now, untilLateUs));
-        // The connection may come up late, and the attempt may not be written after the deduplication window of the key has ended.
+        // The connection may be established late, and the attempt may not be written after the deduplication window of the key has ended.
         long sendByUs = request.requestClass.effect() != Effect.KEYED ? Long.MAX_VALUE
                 : request.attempts.stream().filter(this::mayHaveRun)
                         .mapToLong(earlier -> earlier.sentAt + request.requestClass.windowUs()).min().orElse(Long.MAX_VALUE);
@@ -598,7 +599,7 @@
         concurrencyLimit.attemptSent();
     }
 
-    /** Ends counting an attempt as work of its server; {@code signal} says whether the server gave a sign of itself. */
+    /** Ends counting an attempt as work of its server; {@code signal} says whether the server or its network has responded. */
     private void endWork(Attempt attempt, boolean signal) {
         if (attempt.countedAsWork) {
             attempt.countedAsWork = false;
@@ -747,7 +748,8 @@
                 refuseOrFail(request);
             }
         }
-        // Every queued request has a timer ahead of its deadline (rule 1). The timer fires sooner, because the limit also grows with time.
+        // Every queued request has a timer ahead of its deadline, because it must get an answer by then. The timer fires sooner than that,
+        // because the limit also grows with time.
         long earliestEnd = queue.stream().mapToLong(request -> request.queueUntil).min().orElse(Long.MAX_VALUE);
         if (!queue.isEmpty() && (now >= queueTimerAt || earliestEnd < queueTimerAt)) {
             queueTimerAt = Math.min(now + concurrencyLimit.targetUs() / 4, earliestEnd);
--- a/proxy/src/main/java/walkpost/SlowStart.java
+++ b/proxy/src/main/java/walkpost/SlowStart.java
@@ -1,8 +1,8 @@
 package walkpost;
 
 /**
- * The slow start of one server: how warm it is, and how many requests it may be sent until it is warm (rule 4). Used by the thread of
- * its {@link Policy} only. All times are on the proxy's clock, in microseconds.
+ * The slow start of one server: how warm it is, and how many requests this proxy may send it until it is warm, so that all proxies
+ * together do not overload it. Used by the thread of its {@link Policy} only. All times are on the proxy's clock, in microseconds.
  */
 final class SlowStart {
     /** The part of the allowance that is used, because requests differ in size and the capacity is an estimate. */
@@ -40,13 +40,13 @@
     }
 
     /**
-     * Returns how many requests the server may still be sent, as a token bucket. {@code warmRatePerUs} is the rate that it bears from this
-     * proxy once it is warm. A quarter of this proxy's part of a window may be sent at once, and the rest in the course of the window,
+     * Returns how many requests the server may still be sent, as a token bucket. {@code warmRatePerUs} is the rate that it can serve
+     * this proxy once it is warm. A quarter of this proxy's part of a window may be sent at once, and the rest in the course of the window,
      * so that no window holds more than the whole part.
      *
      * <p>If the part is less than one request, the proxies take turns, in the order in which their buckets fill. A turn that is not used
      * expires after a window, and the next one comes when the bucket is full again: if turns were saved up, all proxies would send at once
-     * after a lull.
+     * after a time with few requests.
      */
     double allowance(long now, Balancer.Rules rules, double warmRatePerUs) {
         double allowedPerUs = ALLOWANCE_USED * rules.fallMultiple() * warmth(now, rules) * warmRatePerUs;
--- a/proxy/src/main/java/walkpost/proxy/BodyRelay.java
+++ b/proxy/src/main/java/walkpost/proxy/BodyRelay.java
@@ -64,7 +64,7 @@
     private boolean reading = true;
     /** Whether the start was written to the current sink. */
     private boolean startWritten;
-    /** Whether bytes beyond the start were written, so that the body cannot be relayed to another sink. */
+    /** Whether bytes after the start were written, so that the body cannot be relayed to another sink. */
     private boolean consumed;
     /** Whether the source has delivered the whole body. */
     private boolean sourceComplete;
@@ -76,7 +76,7 @@
      * Creates a relay without a sink.
      *
      * @param start the bytes that have arrived so far; they are already counted in {@code bufferBudget}, and the relay releases them. They
-     *              can be written to one sink after another, until bytes beyond them have been written to one
+     *              can be written to one sink after another, until bytes that follow them have been written to one
      */
     BodyRelay(ByteBuf start, Source source, BufferBudget bufferBudget) {
         this.start = start;
@@ -133,7 +133,7 @@
         transfer();
     }
 
-    /** Detaches the sink; cancels the relay if bytes beyond the start were written, because no other sink can get the whole body. */
+    /** Detaches the sink; cancels the relay if bytes after the start were written, because no other sink can get the whole body. */
     void detachSink() {
         sink = null;
         if (consumed) {
--- a/proxy/src/main/java/walkpost/proxy/ClientConnection.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientConnection.java
@@ -179,7 +179,7 @@
     }
 
     /**
-     * Gives up a request whose body arrives too slowly. A body is not late while the proxy itself has paused reading, or while the client
+     * Abandons a request whose body arrives too slowly. A body is not late while the proxy itself has paused reading, or while the client
      * waits for {@code 100 Continue}.
      */
     private void bodyPeriodElapsed() {
--- a/proxy/src/main/java/walkpost/proxy/Config.java
+++ b/proxy/src/main/java/walkpost/proxy/Config.java
@@ -8,7 +8,6 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import io.netty.util.NetUtil;
-import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -25,14 +24,14 @@
  * @param name the name of this proxy
  * @param listen the address for clients
  * @param discovery the address of discovery
- * @param operator the address of the operators' endpoint; null if there is none
+ * @param operator the address of the operator endpoint; null if there is none
  * @param sockets the number of descriptors that the process may use
  * @param memoryBytes the memory of the process, in bytes
  * @param cores the share of CPU cores that the process has; may be a fraction
  * @param lastKnownList the list of servers from this proxy's previous run, in discovery's format; null if there is none
  * @param settings the settings of the balancer
  * @param connIdleUs the time after which a server closes an idle connection
- * @param connectTimeoutUs the time-out for connecting to a server
+ * @param connectTimeoutUs the timeout for connecting to a server
  * @param fieldPaths the paths of all JSON fields in the file, except optional ones and those inside arrays
  */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress operator,
--- a/proxy/src/main/java/walkpost/proxy/ConnectionPool.java
+++ b/proxy/src/main/java/walkpost/proxy/ConnectionPool.java
@@ -11,7 +11,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Pools the open connections to one server. It is Netty's pool, with the idle connections kept in a {@link IdleConnections}. Used on
+ * Pools the open connections to one server. It is Netty's pool, with the idle connections kept in {@link IdleConnections}. Used on
  * the event loop only.
  */
 final class ConnectionPool extends SimpleChannelPool {
--- a/proxy/src/main/java/walkpost/proxy/ExclusionStore.java
+++ b/proxy/src/main/java/walkpost/proxy/ExclusionStore.java
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Removes the exclusion of a server, however often it was excluded.
+     * Removes the exclusion of a server, even if it was excluded more than once.
      *
      * @return whether the server is in use again; it is not if another source excludes it
      */
@@ -185,7 +185,7 @@
                 decodeId(file.getFileName().toString()).ifPresent(ids::add);
             }
         } catch (NoSuchFileException e) {
-            // There are no exclusions yet. Any other failure does not tell which exclusions are stored.
+            // There are no exclusions yet. Any other failure leaves unknown which exclusions are stored.
         } catch (IOException | DirectoryIteratorException e) {
             if (directoryReadable) {
                 log.warn("exclusions_unreadable", "holding", "the exclusions read before", "reason", e);
--- a/proxy/src/main/java/walkpost/proxy/Frontend.java
+++ b/proxy/src/main/java/walkpost/proxy/Frontend.java
@@ -29,7 +29,7 @@
 import java.util.stream.Collectors;
 
 /**
- * The client side of the proxy: listens, accepts connections, holds the rules for accepting requests and the state of the shutdown. Used on
+ * The client side of the proxy: listens, accepts connections, and has the rules for accepting requests and the state of the shutdown. Used on
  * the event loop only.
  */
 final class Frontend {
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Returns the monitor that tells how late the event loop may be with reading its sockets. */
+    /** Returns the monitor that shows how late the event loop may be in reading its sockets. */
     EventLoopLagMonitor lagMonitor() {
         return balancerDriver.loopMonitor();
     }
--- a/proxy/src/main/java/walkpost/proxy/IdleConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/IdleConnections.java
@@ -30,7 +30,7 @@
     /**
      * Creates an empty set.
      *
-     * @param clock in microseconds
+     * @param clock returns the time on the proxy's clock, in microseconds
      */
     IdleConnections(LongSupplier clock, ConnectionBudget connectionBudget) {
         this.clock = clock;
--- a/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
+++ b/proxy/src/main/java/walkpost/proxy/ListCallTiming.java
@@ -8,10 +8,10 @@
  * milliseconds.
  *
  * <p>The protocol sets the deadline: a change that a silent watch misses counts as published 6 s after the watch fell silent, or 2 s after
- * the end of its wait if that is later, whether or not it arrived (STANDING, "One clock for silence"). Before the end of its wait a silent
- * watch cannot be told apart from one without changes. So waits are short, and as soon as a wait is over the list is requested again, in
- * parallel to the silent call, which may only be late. The first valid response ends the other calls. There are two such hedge calls,
- * because the first may fall silent too.
+ * the end of its wait if that is later, whether or not the change has arrived here. Before the end of its wait a silent watch cannot be
+ * told apart from one without changes. So waits are short, and as soon as a wait is over the list is requested again, in parallel to the
+ * silent call, which may only be late. The first valid response ends the other calls. There are two such hedge calls, because the first
+ * may fall silent too.
  *
  * <p>After a call that was refused, failed or timed out, a change counts as published 6 s after discovery had it and was reachable.
  * Discovery may become reachable right after the last failing step began, so each row of this table, in seconds, must sum up to at
@@ -31,8 +31,8 @@
  * </pre>
  * If the hedge call of a silent call falls silent as well, the next one follows 1.95 s later, and a change missed by the second silence
  * counts 6 s after it: 3.5 s are needed. A change missed by the first silence is then late by up to 1.6 s, for waits over 2.4 s. This is
- * accepted: no day has two silences in a row, and calling sooner had calls rejected on days with one silence (brink 10,
- * {@code docs/findings/acceptance.md}).
+ * accepted: no scenario that the proxy has to handle has two silences in a row, and when proxies called sooner, discovery rejected calls in
+ * scenarios with one silence.
  */
 final class ListCallTiming {
     /** The times of one call: how long it waits, when to start each hedge call, and when to give up; the last two from its start. */
@@ -40,7 +40,7 @@
 
     /**
      * A watch calls this many times within the period in which the settings require one call of each proxy, which a shared service can
-     * bear. With five, 66 calls of 60 proxies that started at once were answered by 503 when their first waits ended.
+     * answer. With five, 66 calls of 60 proxies that started at once were answered by 503 when their first waits ended.
      */
     private static final long CALLS_PER_REQUIRED_PERIOD = 3;
     /** Shorter waits gain nothing, because changes are already seconds old when they are listed. */
@@ -84,11 +84,11 @@
      * Creates the timing for one configuration.
      *
      * @param pushed whether an agent on this machine pushes lists; if not, they are requested from a service that all proxies share
-     * @param askWithinMs the period in which a proxy without a watch must request the list once
+     * @param requestListWithinMs the period in which a proxy without a watch must request the list once
      */
-    ListCallTiming(boolean pushed, long askWithinMs) {
+    ListCallTiming(boolean pushed, long requestListWithinMs) {
         this.pushed = pushed;
-        this.maxWaitMs = Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, askWithinMs / CALLS_PER_REQUIRED_PERIOD));
+        this.maxWaitMs = Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, requestListWithinMs / CALLS_PER_REQUIRED_PERIOD));
     }
 
     /** Returns the longest time that a call of the watch may wait for changes. */
@@ -130,7 +130,7 @@
         return (long) ((HEDGE_RETRY_MS << Math.min(earlierRetries, MAX_HEDGE_RETRY_DOUBLINGS)) * (1 + draw));
     }
 
-    /** Returns the connect time-out. */
+    /** Returns the connect timeout. */
     int connectTimeoutMs() {
         return pushed ? AGENT_CONNECT_TIMEOUT_MS : SERVICE_CONNECT_TIMEOUT_MS;
     }
--- a/proxy/src/main/java/walkpost/proxy/ListRequest.java
+++ b/proxy/src/main/java/walkpost/proxy/ListRequest.java
@@ -27,7 +27,7 @@
 
 /**
  * Sends one request for the list of servers to discovery, on a connection of its own: with a few requests a minute, keeping connections
- * open gains nothing. It uses one descriptor and at most {@link #MAX_RESPONSE_BYTES} of memory. Only the connect has a time-out; the
+ * open gains nothing. It uses one descriptor and at most {@link #MAX_RESPONSE_BYTES} of memory. Only the connect has a timeout; the
  * caller must end a request whose response takes too long. Used on the event loop only.
  */
 final class ListRequest extends SimpleChannelInboundHandler<FullHttpResponse> {
--- a/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
+++ b/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
@@ -9,7 +9,7 @@
  * from all the while, because the client's close is behind these requests, so the queue limits what it keeps. Used on the event loop only.
  */
 final class PipelinedRequests {
-    /** Limit for one connection: the longest body that is not relayed, and some heads. Our clients send one request at a time. */
+    /** Limit for one connection: the longest body that is not relayed, and some heads. Clients of the platform send one at a time. */
     static final int MAX_BYTES = 128 * 1024;
 
     /** A request, and the bytes that it counts for. */
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -35,7 +35,7 @@
  * on any thread.
  */
 final class ProxyFleetMember implements FleetAccess, FleetListener {
-    /** The topic of the orders that exclude a tile server, which is their subject. */
+    /** The topic of the orders that exclude a server, which is their subject. */
     static final String EXCLUSION = "exclusion";
     /** The topic of the entries with a proxy's status, whose subject is the proxy that writes them. */
     static final String PROXY = "proxy";
@@ -44,7 +44,7 @@
     /** The maximum length of an order's id, in bytes. */
     static final int MAX_ORDER_ID_BYTES = 64;
     private static final String EXCLUDED_PAYLOAD = "{\"out\":true}";
-    /** The fleet answers an order within 2 s (docs/fleet.md); a caller whose order is still unanswered after this time gets a failure. */
+    /** The fleet answers an order within 2 s; a caller whose order is still unanswered after this time gets a failure. */
     private static final long ORDER_TIMEOUT_MS = 2_800;
     private static final long STATUS_INTERVAL_MS = 1_000;
     /** During an upgrade the previous process has the fleet's address until it ends; a try to join costs almost nothing. */
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public CompletionStage<String> issueOrder(String server, boolean out, String orderId, String replaces) {
+    public CompletionStage<String> issueOrder(String server, boolean exclude, String orderId, String replaces) {
         FleetHandle fleet = handle;
         String failure = fleet == null ? notMemberReason : invalidArgument(server, orderId);
         if (failure != null) {
@@ -289,11 +289,12 @@
         var answer = new CompletableFuture<String>();
         Future<?> timeout = loop.schedule(() -> answer.complete("FAILURE " + uncertain(fleet, orderId).getMessage()), ORDER_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
-        fleet.order(new Order.Key(EXCLUSION, server), orderId, "-".equals(replaces) ? "" : replaces, out ? EXCLUDED_PAYLOAD : null)
+        fleet.order(new Order.Key(EXCLUSION, server), orderId, "-".equals(replaces) ? "" : replaces, exclude ? EXCLUDED_PAYLOAD : null)
                 .whenComplete((order, error) -> {
                     timeout.cancel(false);
-                    answer.complete(error != null ? failureAnswer(error) : "SUCCESS " + server + (out ? " is taken out" : " is given back")
-                            + " on the fleet, order=" + order.id() + " version=" + order.version());
+                    answer.complete(error != null ? failureAnswer(error)
+                            : "SUCCESS " + server + (exclude ? " is taken out" : " is given back") + " on the fleet, order="
+                            + order.id() + " version=" + order.version());
                 });
         return answer;
     }
@@ -328,7 +329,7 @@
         return "FAILURE " + (cause instanceof FleetException ? cause.getMessage() : cause);
     }
 
-    /** Answers a call from this member's replica, off the event loop because it may contain ten thousand members, orders or entries. */
+    /** Answers a call from this member's replica; off the event loop, because there may be ten thousand members, orders or entries. */
     private CompletionStage<String> answerFromReplica(Function<FleetHandle, JsonNode> answer) {
         FleetHandle fleet = handle;
         return fleet == null ? CompletableFuture.completedFuture("FAILURE " + notMemberReason)
--- a/proxy/src/main/java/walkpost/proxy/RequestHeadValidator.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestHeadValidator.java
@@ -35,6 +35,7 @@
 
     private RequestHeadValidator() { }
 
+    /** Checks a head; the exception says what is wrong with it. */
     static void check(HttpRequest head) throws UnacceptableRequestException {
         HttpHeaders headers = head.headers();
         boolean http10 = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
@@ -45,7 +46,7 @@
         if (!codings.isEmpty()
                 && (http10 || codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
             throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST,
-                    "a body whose end can't be told: Transfer-Encoding must be 'chunked', once, and only with HTTP/1.1");
+                    "the end of the body is ambiguous: Transfer-Encoding must be 'chunked', once, and only with HTTP/1.1");
         }
         if (headers.getAll(HttpHeaderNames.HOST).size() > 1) {
             throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST, "more than one Host header; expected at most one");
--- a/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
@@ -255,7 +255,7 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
         if (event instanceof IdleStateEvent) {
-            // An attempt has a time-out of its own, but a relayed body in either direction has only this idle time-out.
+            // An attempt has a timeout of its own, but a relayed body in either direction has only this idle timeout.
             boolean serverIsSilent = relay != null && channel.config().isAutoRead();
             boolean requestIsBlocked = attempt != null && attempt.isSendBlocked();
             if (attempt == null || serverIsSilent || requestIsBlocked) {
--- a/proxy/src/main/java/walkpost/proxy/ServerConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnections.java
@@ -84,7 +84,7 @@
     private final Bootstrap bootstrap;
     private long idleUs;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    /** The ids of all servers on the list, whatever their state. */
+    /** The ids of all servers on the list, in any state. */
     private final Set<String> listedIds = new HashSet<>();
     private final Set<String> excludedIds = new HashSet<>();
 
@@ -100,7 +100,7 @@
         setTimeouts(connIdleUs, connectTimeoutUs);
     }
 
-    /** Sets the time-outs of connections. If the idle time-out gets shorter, closes all idle connections: they may exceed it. */
+    /** Sets the timeouts of connections. If the idle timeout gets shorter, closes all idle connections: they may exceed it. */
     void setTimeouts(long connIdleUs, long connectTimeoutUs) {
         int connectTimeoutMs = (int) Math.max(1, connectTimeoutUs / 1_000);
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
@@ -164,13 +164,14 @@
         return listedIds.contains(id) || excludedIds.contains(id);
     }
 
-    /** Excludes a server, whatever the list says; returns the attempts that the caller must abort, as for a drain. */
+    /** Excludes a server, even if the list says that it is ready; returns the attempts that the caller must abort, as for a drain. */
     List<Attempt> exclude(String id) {
         excludedIds.add(id);
         Endpoint endpoint = endpoints.get(id);
         return endpoint == null ? List.of() : endpoint.stopSending();
     }
 
+    /** Ends the exclusion of a server. */
     void include(String id) {
         excludedIds.remove(id);
     }
@@ -376,8 +377,8 @@
         }
 
         /**
-         * Sends the request head and starts to relay the body. No time-out runs meanwhile, because the client determines how long that
-         * takes; the time-out for the response starts when the body is sent.
+         * Sends the request head and starts to relay the body. No timeout runs meanwhile, because the client determines how long that
+         * takes; the timeout for the response starts when the body is sent.
          */
         private void startBodyRelay() {
             var request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, outgoing.method(), outgoing.uri());
@@ -423,7 +424,7 @@
             }
         }
 
-        /** Reports a response that is relayed: its latency is measured now, and no time-out runs from here on. */
+        /** Reports a response that is relayed: its latency is measured now, and no timeout runs from here on. */
         void beginStreamedResponse(StreamedResponse response) {
             timer.cancel(false);
             responseStartedAtUs = clock.nowUs();
--- a/proxy/src/main/java/walkpost/wire/SettingsReader.java
+++ b/proxy/src/main/java/walkpost/wire/SettingsReader.java
@@ -3,6 +3,7 @@
 import walkpost.Balancer;
 import java.util.ArrayList;
 import java.util.Map;
+import java.util.TreeSet;
 
 /**
  * Reads the settings of an instance from a map of paths, such as {@code profiles.0.aim_us}, to values. The simulator's wire format has
@@ -100,7 +101,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // reported below
+            // The number is rejected below.
         }
         throw new IllegalArgumentException("setting '" + path + "' is '" + text(path) + "', expected a finite number");
     }
@@ -112,7 +113,8 @@
     private <T> T word(String path, Map<String, T> words) {
         T meaning = words.get(text(path));
         if (meaning == null) {
-            throw new IllegalArgumentException("unknown value '" + text(path) + "' in setting '" + path + "'");
+            throw new IllegalArgumentException("unknown value '" + text(path) + "' in setting '" + path + "', expected one of "
+                    + new TreeSet<>(words.keySet()));
         }
         return meaning;
     }
--- a/proxy/src/main/java/walkpost/wire/WireLine.java
+++ b/proxy/src/main/java/walkpost/wire/WireLine.java
@@ -58,7 +58,7 @@
         return line.substring(keyEnd[i] + 1, valueEnd[i]);
     }
 
-    /** Returns the value of a key, or null where it is absent. */
+    /** Returns the value of a key, or null if it is absent. */
     String optional(String key) {
         int length = key.length();
         for (int i = 0; i < count; i++) {
@@ -69,7 +69,7 @@
         return null;
     }
 
-    /** Returns the value of a key that must be there and not be empty. */
+    /** Returns the value of a key; throws a {@link WireException} if it is absent or empty. */
     String text(String key) {
         String value = optional(key);
         if (value == null || value.isEmpty()) {
@@ -115,7 +115,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // reported below
+            // The number is rejected below.
         }
         throw new WireException(name() + ": field '" + key + "' is '" + value + "', expected a finite number");
     }
--- a/proxy/src/test/java/walkpost/SlowStartFleetTest.java
+++ b/proxy/src/test/java/walkpost/SlowStartFleetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Slow start (rule 4) over a whole fleet on one clock. Guards against proxies that each keep to their part, without communication, and
+ * Slow start over a whole fleet on one clock. Guards against proxies that each keep to their part, without communication, and
  * together send a cold backend too much.
  */
 class SlowStartFleetTest {
--- a/proxy/src/test/java/walkpost/proxy/ConfigTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ConfigTest.java
@@ -47,7 +47,8 @@
         ObjectNode wrong = ProxyFixture.config();
         ((ObjectNode) wrong.path("settings").path("profiles").get(1)).put("effect", "sometimes");
         assertThatThrownBy(() -> Config.parse(wrong))
-                .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect'");
+                .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect', expected one of "
+                        + "[at_most_once, deduplicated, idempotent]");
     }
 
     @Test
--- a/proxy/src/test/java/walkpost/proxy/ServerConnectionsTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ServerConnectionsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks the outcomes of attempts: rule 2 requires that an attempt is reported as never run only if that is certain. */
+/** Checks the outcomes of attempts: an attempt may be reported as never run only if that is certain, because it is then sent again. */
 class ServerConnectionsTest {
     @ParameterizedTest
     @CsvSource({"503 Unavailable,X-Not-Processed: 1,FULL", "504 Late,X-Not-Processed: 1,FULL",
@@ -212,7 +212,7 @@
         }
     }
 
-    /** Rule 3 counts a send from its first byte, so an attempt that still waits for its connection must not be sent after a drain. */
+    /** An attempt counts as sent from its first byte, so one that still waits for its connection must not be sent after a drain. */
     @Test
     void aDrainStopsAttemptsThatAreStillConnecting() throws Exception {
         try (var full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); var server = new FakeServer();
--- a/proxy/src/test/java/walkpost/wire/InstanceHostTest.java
+++ b/proxy/src/test/java/walkpost/wire/InstanceHostTest.java
@@ -181,7 +181,8 @@
     @CsvSource(delimiter = '|', value = {
         "balancers=3| balancers=0| invalid setting: balancers is 0, expected 1 or more",
         "profiles.0.aim_us=400000| profiles.0.aim_us=-1| invalid setting: aim of class pay is -1, expected more than 0 us",
-        "bounds.cancel=true| bounds.cancel=maybe| unknown value 'maybe' in setting 'bounds.cancel'",
+        "bounds.cancel=true| bounds.cancel=maybe| unknown value 'maybe' in setting 'bounds.cancel', expected one of "
+                + "[0, 1, false, true]",
         "quantum_us=4000| quantum_us=4.5| setting 'quantum_us' is '4.5', expected a whole number"})
     void errorNamesAnInvalidSetting(String good, String bad, String message) throws IOException {
         assertThat(run(batch(UP.replace(good, bad)))).isEqualTo(1);
