--- a/proxy/src/main/java/walkpost/Balancer.java
+++ b/proxy/src/main/java/walkpost/Balancer.java
@@ -181,8 +181,8 @@
     sealed interface Action permits Send, Refuse, Fail, Cancel, Release, SetTimer, Probe, Watch, Fetch, Log { }
 
     /**
-     * Sends an attempt. The attempts of a request are numbered from 0, in the order sent. If the connection is established late, no part of the
-     * attempt may be written after {@code sendByUs} on the proxy's clock.
+     * Sends an attempt. The attempts of a request are numbered from 0, in the order sent. If the connection is established late, no part
+     * of the attempt may be written after {@code sendByUs} on the proxy's clock.
      */
     record Send(String id, String backend, long timeoutUs, long sendByUs) implements Action {
         /** Creates an attempt that may be written whenever its connection is ready. */
--- a/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
+++ b/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
@@ -1,8 +1,9 @@
 package walkpost.proxy;
 
 /**
- * Determines whether a client that has just been accepted may have waited in the listener's accept queue: while accepting was paused, or behind
- * other clients, because the event loop accepts one in each turn. The input of such a client is unread, and it may have gone already. Wraps the listener whose queue it watches. Used on the event loop only.
+ * Determines whether a client that has just been accepted may have waited in the listener's accept queue: while accepting was paused, or
+ * behind other clients, because the event loop accepts one in each turn. The input that such a client has sent meanwhile is unread, and the
+ * client may have gone already. Wraps the listener whose queue it watches. Used on the event loop only.
  */
 final class AcceptQueueMonitor implements ClientListener {
     /**
--- a/proxy/src/main/java/walkpost/proxy/EventLoopLagMonitor.java
+++ b/proxy/src/main/java/walkpost/proxy/EventLoopLagMonitor.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Determines whether the event loop lags, because of a pause of the process or a long batch of work. Input that is read then may have waited
- * all the while, and events that would end a request, such as its client's close, may still be unread behind it. A periodic heartbeat task
- * shows the lag by being overdue. Heartbeats and reads take turns, so a lag counts until the heartbeat after the overdue one. Used on the
- * event loop only.
+ * Determines whether the event loop lags, because of a pause of the process or a long batch of work. Input that is read then may have
+ * waited all that time, and events that would end a request, such as its client's close, may still be unread behind it. A periodic
+ * heartbeat task shows the lag by being overdue. Heartbeats and reads take turns, so a lag counts until the heartbeat after the overdue
+ * one. Used on the event loop only.
  */
 final class EventLoopLagMonitor {
     /** The heartbeat's period, and how late a heartbeat may be before the loop counts as lagging. */
--- a/proxy/src/main/java/walkpost/proxy/Frontend.java
+++ b/proxy/src/main/java/walkpost/proxy/Frontend.java
@@ -29,8 +29,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The client side of the proxy: listens, accepts connections, and has the rules for accepting requests and the state of the shutdown. Used on
- * the event loop only.
+ * The client side of the proxy: listens, accepts connections, and has the rules for accepting requests and the state of the shutdown. Used
+ * on the event loop only.
  */
 final class Frontend {
     private static final int ACCEPT_QUEUE_LENGTH = 1_024;
