--- a/proxy/src/main/java/walkpost/ConcurrencyLimit.java
+++ b/proxy/src/main/java/walkpost/ConcurrencyLimit.java
@@ -94,7 +94,7 @@
     void refresh(double meanResponseUs, int servers) {
         unloadedUs = unloadedUs == 0 ? meanResponseUs : Math.min(unloadedUs, meanResponseUs);
         double rateNow = answerRate() / Math.max(1, servers);
-        // Changes slowly, because the answers of servers that have just left the list say nothing about those that stay.
+        // The rate changes slowly, because the answers of servers that have just left the list say nothing about those that stay.
         answersPerUsAndServer += (rateNow - answersPerUsAndServer) * Math.max(1.0 / ++refreshes, 1 - SERVER_RATE_KEPT);
     }
 
--- a/proxy/src/main/java/walkpost/EjectedFlows.java
+++ b/proxy/src/main/java/walkpost/EjectedFlows.java
@@ -12,7 +12,7 @@
     private record FlowAtServer(FlowOutlierDetectors server, String flow) { }
 
     private final int maxFlows;
-    /** In the order of the last failures, the oldest first. */
+    /** The flows in the order of their last failures, the oldest first. */
     private final Map<OutlierDetector, FlowAtServer> flows = new LinkedHashMap<>();
 
     EjectedFlows(int maxFlows) {
--- a/proxy/src/main/java/walkpost/FlowOutlierDetectors.java
+++ b/proxy/src/main/java/walkpost/FlowOutlierDetectors.java
@@ -10,7 +10,7 @@
  */
 final class FlowOutlierDetectors {
     private final EjectedFlows ejectedFlows;
-    /** Null while there is nothing to store, as at most servers. */
+    /** The detectors by flow name; null while none is stored, which is the usual case. */
     private Map<String, OutlierDetector> detectors;
 
     FlowOutlierDetectors(EjectedFlows ejectedFlows) {
--- a/proxy/src/main/java/walkpost/Policy.java
+++ b/proxy/src/main/java/walkpost/Policy.java
@@ -60,11 +60,11 @@
     private Settings settings;
     private Rules rules;
     private final Random random;
-    /** By name. Classes that are no longer in the settings stay, because their requests may still arrive. */
+    /** The request classes by name. Classes that are no longer in the settings stay, because their requests may still arrive. */
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final TenantShares tenantShares = new TenantShares();
     private final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
-    /** By class: the least time left until its deadline with which a first try (not a repeat) has arrived. */
+    /** The least time left until its deadline with which a first try (not a repeat) has arrived, by the name of the request class. */
     private final Map<String, Long> minFirstTryLeftUs = new HashMap<>();
     private final Map<String, ResponseTimeStats> statsByKind = new HashMap<>();
     private final ResponseTimeStats overallStats = new ResponseTimeStats();
@@ -73,13 +73,13 @@
     private final List<Server> servers = new ArrayList<>();
     private final EjectedFlows ejectedFlows = new EjectedFlows(MAX_EJECTED_FLOWS);
     private final Set<String> excludedIds = new HashSet<>();
-    /** By server: when the operators ended its exclusion. An entry is removed once the server is warm again. */
+    /** The time at which the operators ended a server's exclusion, by its id. An entry is removed once the server is warm again. */
     private final Map<String, Long> includedAt = new HashMap<>();
     private final Map<String, Request> requests = new HashMap<>();
     private long refreshPeriodUs;
     private long nextRefreshAt = Long.MIN_VALUE;
     private double retryTokens = MAX_RETRY_TOKENS;
-    /** When the list is to be requested next, or {@link Long#MAX_VALUE} if no request is due. */
+    /** The time at which the list is to be requested next, or {@link Long#MAX_VALUE} if no request is due. */
     private long listRequestAt = Long.MIN_VALUE;
     private int failedListCalls;
     /** The work of all attempts in flight, in requests of mean cost. */
@@ -87,7 +87,7 @@
     private double meanCostUs;
     private int costSamples;
     private long longestAimUs;
-    /** Highest worth first, then earliest aim. */
+    /** The queued requests, those of the highest worth first, and of these the earliest aim first. */
     private final List<Request> queue = new ArrayList<>();
     private long queueTimerAt = Long.MIN_VALUE;
     /** The time by which all ready servers are warm. */
@@ -119,7 +119,7 @@
     private static final class Server {
         private final String id;
         private Backend listed;
-        /** Shared by all servers of its kind. */
+        /** The statistics that this server shares with all servers of its kind. */
         private ResponseTimeStats kindStats;
         private double weight;
         private double zoneFactor;
@@ -354,8 +354,8 @@
     // Weights
 
     /**
-     * Sets the weights w = c / (sum of all c) and resets the virtual times. Called at every list change, and otherwise once in twice the
-     * longest aim.
+     * Sets the weights w = c / (sum of all c) and resets the virtual times. This happens at every list change, and otherwise once in each
+     * refresh period, which is twice the longest aim.
      */
     private void refreshWeights() {
         nextRefreshAt = now + refreshPeriodUs;
@@ -383,7 +383,7 @@
         server.ownSamples++;
     }
 
-    /** Returns the estimated response time of a server: the mean of its kind, moved to its own mean by the number of its own answers. */
+    /** Returns the estimated response time of a server: the mean of its kind and its own, weighted by the number of its own answers. */
     private double responseUs(Server server) {
         return (KIND_MEAN_SAMPLES * server.kindStats.meanUs() + server.ownTotalUs) / (KIND_MEAN_SAMPLES + server.ownSamples);
     }
@@ -420,7 +420,7 @@
     private Server chooseServer(Request request) {
         Server best = null;
         double earliestVirtualDeadline = Double.POSITIVE_INFINITY;
-        // Below 0 if fewer than a quarter of the servers considered are eligible.
+        // The score is below 0 if fewer than a quarter of the servers considered are eligible.
         int eligibilityScore = 0;
         // A proxy uses only its part of the servers. One that is far busier than others uses as many servers as it has attempts in flight
         // on average.
@@ -774,7 +774,7 @@
     private long retryAfterUs(Request request) {
         double queuedUs = servers.isEmpty() ? refreshPeriodUs
                 : queue.size() / Math.max(concurrencyLimit.answerRate(), 1.0 / refreshPeriodUs);
-        // From 0.75 to 1, by the hash code of the request.
+        // The jitter is from 0.75 to 1, by the hash code of the request.
         double jitter = 1 - (mix(request.id.hashCode()) >>> 16) / 262_144.0;
         return (long) (jitter * Math.min(Math.max(concurrencyLimit.targetUs(), queuedUs), settings.limits().maxRetryAfterUs()));
     }
--- a/proxy/src/main/java/walkpost/TenantShares.java
+++ b/proxy/src/main/java/walkpost/TenantShares.java
@@ -26,7 +26,7 @@
     private Map<String, Bucket> buckets = Map.of();
     private long burstUs;
 
-    /** Takes over the tenants of {@code settings}. Tokens are kept; a bucket holds at most what its rate yields in {@code burstUs}. */
+    /** Applies the tenants of {@code settings}. Tokens are kept; a bucket holds at most what its rate yields in {@code burstUs}. */
     void configure(Balancer.Settings settings, long burstUs) {
         this.burstUs = burstUs;
         buckets = rebuild(buckets, settings.tenants(), Balancer.Tenant::name,
--- a/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
+++ b/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
@@ -14,7 +14,7 @@
 
     private final EventLoopLagMonitor lagMonitor;
     private final ClientListener delegate;
-    /** Since when the queue may never have been empty; {@code Long.MAX_VALUE} if it is known to be empty. */
+    /** The time since which the queue may never have been empty; {@code Long.MAX_VALUE} if it is known to be empty. */
     private long queuedSinceUs = Long.MAX_VALUE;
     private long lastAcceptUs = Long.MIN_VALUE / 2;
     private int acceptedCount;
--- a/proxy/src/main/java/walkpost/proxy/ClientExchange.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientExchange.java
@@ -88,7 +88,7 @@
                         : Frontend.textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready"));
                 return;
             }
-            incoming = incoming(target, uri);
+            incoming = toIncomingRequest(target, uri);
         } catch (RejectedRequestException e) {
             sendResponse(Frontend.textResponse(e.status, e.getMessage()));
             return;
@@ -120,13 +120,13 @@
     }
 
     /** Validates the request against the admission rules and returns it in the form that the proxy takes. */
-    private BalancerDriver.IncomingRequest incoming(String target, QueryStringDecoder uri) throws RejectedRequestException {
+    private BalancerDriver.IncomingRequest toIncomingRequest(String target, QueryStringDecoder uri) throws RejectedRequestException {
         if (!uri.rawPath().equals("/api") && !uri.rawPath().startsWith("/api/")) {
             throw new RejectedRequestException(HttpResponseStatus.NOT_FOUND,
                     "unknown path; expected /ready, /api or a path under /api/");
         }
         HttpHeaders headers = head.headers();
-        String requestClass = header(headers, Headers.REQUEST_CLASS);
+        String requestClass = requiredHeader(headers, Headers.REQUEST_CLASS);
         // The current rules apply, unless the class was removed from them after the request's head arrived: then the earlier rules do.
         Frontend.AdmissionRules rules = frontend.admissionRules().effects().containsKey(requestClass) ? frontend.admissionRules()
                 : rulesAtArrival;
@@ -141,29 +141,29 @@
                     "requests of the class given in " + Headers.REQUEST_CLASS + " must use " + expectedMethod);
         }
         if (effect == Balancer.Effect.KEYED) {
-            header(headers, Headers.IDEMPOTENCY_KEY);
+            requiredHeader(headers, Headers.IDEMPOTENCY_KEY);
         }
         String tenant = null;
         if (!rules.tenants().isEmpty()) {
-            tenant = header(headers, Headers.TENANT);
+            tenant = requiredHeader(headers, Headers.TENANT);
             if (!rules.tenants().contains(tenant)) {
                 throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST,
                         Headers.TENANT + " names no tenant of this proxy's configuration");
             }
         }
-        String requestId = header(headers, Headers.REQUEST_ID);
+        String requestId = requiredHeader(headers, Headers.REQUEST_ID);
         if (frontend.balancerDriver.hasRequest(requestId)) {
             throw new RejectedRequestException(HttpResponseStatus.CONFLICT,
                     "another request with the same " + Headers.REQUEST_ID + " is in progress");
         }
         List<String> keys = uri.parameters().get("k");
-        timeoutUs = timeoutUs(header(headers, Headers.TIMEOUT));
+        timeoutUs = timeoutUs(requiredHeader(headers, Headers.TIMEOUT));
         return new BalancerDriver.IncomingRequest(requestId, requestClass, tenant, keys == null ? null : keys.get(0),
                 "1".equals(headers.get(Headers.RETRIED)), costUs(headers.get(Headers.COST)), deadlineUs(), requestComplete, rules.limits(),
                 new ServerConnections.OutgoingRequest(head.method(), target, headers, body, requestRelay));
     }
 
-    private static String header(HttpHeaders headers, String name) throws RejectedRequestException {
+    private static String requiredHeader(HttpHeaders headers, String name) throws RejectedRequestException {
         String value = headers.get(name);
         if (value == null || value.isEmpty()) {
             throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST, "header " + name + " is missing or empty");
--- a/proxy/src/main/java/walkpost/proxy/EventLoopLagMonitor.java
+++ b/proxy/src/main/java/walkpost/proxy/EventLoopLagMonitor.java
@@ -18,7 +18,7 @@
     private final ProxyClock clock;
     private final EventLoop loop;
     private long lastHeartbeatUs;
-    /** When the lag that the last heartbeat has shown began; {@code Long.MAX_VALUE} if that heartbeat was on time. */
+    /** The time at which the lag shown by the last heartbeat began; {@code Long.MAX_VALUE} if that heartbeat was on time. */
     private long laggingSinceUs = Long.MAX_VALUE;
 
     EventLoopLagMonitor(ProxyClock clock, EventLoop loop) {
--- a/proxy/src/main/java/walkpost/proxy/ListRequest.java
+++ b/proxy/src/main/java/walkpost/proxy/ListRequest.java
@@ -33,10 +33,10 @@
 final class ListRequest extends SimpleChannelInboundHandler<FullHttpResponse> {
     /** Is notified once, on the event loop, of how a request ended; never after {@link #end}. */
     interface Callback {
-        /** A list has been received whose outer fields are valid; its entries are not checked yet. */
+        /** Called when a list with valid outer fields has been received; its entries are not checked yet. */
         void received(JsonNode list);
 
-        /** The request has failed; {@code reason} is for the log. */
+        /** Called when the request has failed; {@code reason} is for the log. */
         void failed(CallFailure failure, String reason);
     }
 
--- a/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
+++ b/proxy/src/main/java/walkpost/proxy/PipelinedRequests.java
@@ -42,7 +42,7 @@
     /** Removes and returns the oldest request, or returns null if the queue is empty. */
     ClientExchange poll() {
         QueuedExchange next = queue.poll();
-        return next == null ? null : removed(next);
+        return next == null ? null : onRemoved(next);
     }
 
     /** Removes a request; returns whether it was queued. */
@@ -51,7 +51,7 @@
             QueuedExchange next = iterator.next();
             if (next.exchange == exchange) {
                 iterator.remove();
-                removed(next);
+                onRemoved(next);
                 return true;
             }
         }
@@ -65,7 +65,8 @@
         }
     }
 
-    private ClientExchange removed(QueuedExchange queued) {
+    /** Returns the bytes of a removed request to the buffer budget; returns its exchange. */
+    private ClientExchange onRemoved(QueuedExchange queued) {
         queuedBytes -= queued.sizeBytes;
         bufferBudget.release(queued.sizeBytes);
         return queued.exchange;
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -47,7 +47,7 @@
     /** The fleet answers an order within 2 s; a caller whose order is still unanswered after this time gets a failure. */
     private static final long ORDER_TIMEOUT_MS = 2_800;
     private static final long STATUS_INTERVAL_MS = 1_000;
-    /** During an upgrade the previous process has the fleet's address until it ends; a try to join costs almost nothing. */
+    /** During an upgrade the previous process has the fleet's address until it ends; an attempt to join costs almost nothing. */
     private static final long JOIN_RETRY_MS = 500;
 
     /** Joins the fleet with this process. */
--- a/proxy/src/main/java/walkpost/proxy/ServerConnections.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnections.java
@@ -64,16 +64,16 @@
 
     /** Is notified of the progress and the outcome of an attempt, on the event loop. */
     interface AttemptListener {
-        /** The attempt has started to relay a request body that is still arriving; the server cannot respond until it is sent. */
+        /** Called when the attempt starts to relay a request body that is still arriving; the server cannot respond until it is sent. */
         void onBodySendingStarted();
 
-        /** The relayed request body has been sent completely. */
+        /** Called when the relayed request body has been sent completely. */
         void onBodySent();
 
-        /** A response that is too long to be buffered has started. */
+        /** Called when a response starts that is too long to be buffered. */
         void onStreamedResponse(StreamedResponse response);
 
-        /** The attempt has ended; called once. {@code response} is null unless the outcome is {@link Outcome#OK} and was not streamed. */
+        /** Called once, when the attempt has ended; {@code response} is null unless it is {@link Outcome#OK} and was buffered. */
         void onEnded(Outcome outcome, long latencyUs, BufferedResponse response);
     }
 
@@ -274,7 +274,7 @@
         private final long sendByUs;
         private final AttemptListener listener;
         private long startedAtUs;
-        /** When a relayed response started, on the proxy's clock; 0 if none has. */
+        /** The time at which a relayed response started, on the proxy's clock; 0 if none has. */
         private long responseStartedAtUs;
         private Future<?> timer;
         private ChannelFuture connecting;
