--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -36,9 +36,9 @@
  */
 final class ProxyFleetMember implements FleetAccess, FleetListener {
     /** The topic of the orders that exclude a server, which is their subject. */
-    static final String EXCLUSION = "exclusion";
+    static final String EXCLUSION_TOPIC = "exclusion";
     /** The topic of the entries with a proxy's status, whose subject is the proxy that writes them. */
-    static final String PROXY = "proxy";
+    static final String PROXY_TOPIC = "proxy";
     /** The number of descriptors that a membership may use. */
     static final int MAX_DESCRIPTORS = Fleet.MOST_DESCRIPTORS;
     /** The maximum length of an order's id, in bytes. */
@@ -153,7 +153,7 @@
 
     @Override
     public void effectiveOrderChanged(Order.Key key, EffectiveOrder effectiveOrder) {
-        if (!key.topic().equals(EXCLUSION)) {
+        if (!key.topic().equals(EXCLUSION_TOPIC)) {
             return;
         }
         Boolean excluded = isExcluded(effectiveOrder);
@@ -171,7 +171,7 @@
         if (caughtUp && fleet != null) {
             Map<Order.Key, EffectiveOrder> orders = fleet.orders();
             exclusions.excludedIds().stream().filter(id -> {
-                EffectiveOrder effectiveOrder = orders.get(new Order.Key(EXCLUSION, id));
+                EffectiveOrder effectiveOrder = orders.get(new Order.Key(EXCLUSION_TOPIC, id));
                 return effectiveOrder == null || Boolean.FALSE.equals(isExcluded(effectiveOrder));
             }).forEach(id -> exclusions.apply(id, false));
         }
@@ -201,10 +201,10 @@
     private void publishStatus() {
         FleetHandle fleet = handle;
         ProxyStatus currentStatus = status.get();
-        if (fleet != null && (!currentStatus.equals(publishedStatus) || clock.nowUs() - publishedAtUs >= fleet.boundUs(PROXY) / 2)) {
+        if (fleet != null && (!currentStatus.equals(publishedStatus) || clock.nowUs() - publishedAtUs >= fleet.boundUs(PROXY_TOPIC) / 2)) {
             publishedStatus = currentStatus;
             publishedAtUs = clock.nowUs();
-            fleet.writeEntry(PROXY, fleet.name(), Config.JSON.valueToTree(currentStatus).toString());
+            fleet.writeEntry(PROXY_TOPIC, fleet.name(), Config.JSON.valueToTree(currentStatus).toString());
         }
     }
 
@@ -271,7 +271,7 @@
         if (invalid != null) {
             return CompletableFuture.completedFuture("FAILURE " + invalid);
         }
-        return answerFromMembers(fleet -> fleet.held(new Order.Key(EXCLUSION, server), orderId), (fleet, found) -> {
+        return answerFromMembers(fleet -> fleet.held(new Order.Key(EXCLUSION_TOPIC, server), orderId), (fleet, found) -> {
             ObjectNode json = Config.JSON.createObjectNode().put("held", found.held()).put("of", found.of());
             json.set("lacking", Config.JSON.valueToTree(found.lacking()));
             json.set("silent", Config.JSON.valueToTree(found.silent()));
@@ -289,7 +289,8 @@
         var answer = new CompletableFuture<String>();
         Future<?> timeout = loop.schedule(() -> answer.complete("FAILURE " + uncertain(fleet, orderId).getMessage()), ORDER_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
-        fleet.order(new Order.Key(EXCLUSION, server), orderId, "-".equals(replaces) ? "" : replaces, exclude ? EXCLUDED_PAYLOAD : null)
+        fleet.order(new Order.Key(EXCLUSION_TOPIC, server), orderId, "-".equals(replaces) ? "" : replaces,
+                        exclude ? EXCLUDED_PAYLOAD : null)
                 .whenComplete((order, error) -> {
                     timeout.cancel(false);
                     answer.complete(error != null ? failureAnswer(error)
--- a/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
+++ b/proxy/src/main/java/walkpost/proxy/ServerConnectionHandler.java
@@ -40,10 +40,11 @@
     /** True from the head of an interim (1xx) response to its end. */
     private boolean inInterimResponse;
     /** Whether the part of the response that was read last is valid HTTP/1. */
-    private boolean valid;
+    private boolean latestPartValid;
     /** True if the rest of the response is not needed; the response is delivered when the read in progress is complete. */
-    private boolean done;
-    private boolean failed;
+    private boolean responseDone;
+    /** Whether an exception was caught, after which nothing read from this connection counts. */
+    private boolean connectionFailed;
 
     ServerConnectionHandler(ServerConnections.Endpoint endpoint, BufferBudget bufferBudget) {
         this.endpoint = endpoint;
@@ -71,11 +72,11 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        if (failed) {
+        if (connectionFailed) {
             return;
         }
         if (message instanceof HttpResponse response) {
-            if (attempt == null || done) {
+            if (attempt == null || responseDone) {
                 // A response without a request: nothing that follows on this connection can be matched to a request.
                 channel.close();
             } else if (!updateInterim(response)) {
@@ -94,15 +95,15 @@
 
     private void onHead(HttpResponse response) {
         responseHead = response;
-        valid = isSupported(response);
+        latestPartValid = isSupported(response);
         if (attempt.mayHaveRun() ? arrivedBeforeRequestWasSent : outcome() != Outcome.FULL) {
             // A server answers an incomplete request only to reject it, so this response does not belong to the request.
             responseHead = null;
             attempt.abort(attempt.mayHaveRun() ? Outcome.ERROR : Outcome.CONNECT_FAILED);
             return;
         }
-        if (!valid) {
-            done = true;
+        if (!latestPartValid) {
+            responseDone = true;
         } else if (HttpUtil.getContentLength(response, 0L) > ServerConnections.MAX_BUFFERED_BODY_BYTES) {
             startRelay();
         }
@@ -112,7 +113,7 @@
     private void startRelay() {
         if (outcome() != Outcome.OK) {
             // Only the status of such a response is used.
-            done = true;
+            responseDone = true;
             return;
         }
         relay = new BodyRelay(bufferedBody, this, bufferBudget);
@@ -123,26 +124,26 @@
 
     private void onContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (inInterimResponse || responseHead == null || done) {
+        if (inInterimResponse || responseHead == null || responseDone) {
             arrivedBeforeRequestWasSent &= !inInterimResponse;
             inInterimResponse &= !last;
             return;
         }
-        valid = content.decoderResult().isSuccess();
+        latestPartValid = content.decoderResult().isSuccess();
         int bytes = content.content().readableBytes();
-        if (valid && relay == null && bytes > 0
+        if (latestPartValid && relay == null && bytes > 0
                 && (bufferedBody.readableBytes() + bytes > ServerConnections.MAX_BUFFERED_BODY_BYTES || bufferBudget.isExhausted())) {
             startRelay();
         }
-        if (valid && relay != null) {
+        if (latestPartValid && relay != null) {
             relay.add(content.content().retain());
-        } else if (valid && !done) {
+        } else if (latestPartValid && !responseDone) {
             bufferedBody = Headers.appendBody(bufferedBody, content.content(), channel.alloc(), bufferBudget);
         }
-        if (last && valid) {
+        if (last && latestPartValid) {
             trailers = ((LastHttpContent) content).trailingHeaders();
         }
-        done |= last || !valid;
+        responseDone |= last || !latestPartValid;
     }
 
     @Override
@@ -156,7 +157,7 @@
      * otherwise be given bytes that the server sent after this response.
      */
     private void deliverResponse() {
-        if (!done || attempt == null) {
+        if (!responseDone || attempt == null) {
             return;
         }
         ServerConnections.Attempt finishedAttempt = attempt;
@@ -196,7 +197,7 @@
         relay = null;
         trailers = null;
         arrivedBeforeRequestWasSent = false;
-        done = false;
+        responseDone = false;
     }
 
     /** Returns whether a response is valid HTTP/1. The proxy never asks for a protocol switch, and what follows one is not HTTP/1. */
@@ -207,11 +208,11 @@
 
     private Outcome outcome() {
         int status = responseHead.status().code();
-        if (valid && status == 200) {
+        if (latestPartValid && status == 200) {
             return Outcome.OK;
         }
         boolean rejected = (status == 503 || status == 504) && "1".equals(responseHead.headers().get(Headers.NOT_PROCESSED));
-        return valid && rejected ? Outcome.FULL : Outcome.ERROR;
+        return latestPartValid && rejected ? Outcome.FULL : Outcome.ERROR;
     }
 
     @Override
@@ -272,7 +273,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         // The decoder may still emit an end of the response when the connection closes; it must not count as a complete response.
-        failed = true;
+        connectionFailed = true;
         ctx.close();
     }
 }
