--- a/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
+++ b/proxy/src/main/java/walkpost/proxy/AcceptQueueMonitor.java
@@ -1,9 +1,9 @@
 package walkpost.proxy;
 
 /**
- * Tells whether a client that has just been accepted may have waited in the listener's accept queue: while accepting was paused, or behind
- * other clients, because the event loop accepts one in each turn. What such a client has sent meanwhile is unread, and it may have gone
- * already. Wraps the listener whose queue it watches. Used on the event loop only.
+ * Determines whether a client that has just been accepted may have waited in the listener's accept queue: while accepting was paused, or
+ * behind other clients, because the event loop accepts one in each turn. The input that such a client has sent meanwhile is unread, and the
+ * client may have gone already. Wraps the listener whose queue it watches. Used on the event loop only.
  */
 final class AcceptQueueMonitor implements ClientListener {
     /**
@@ -14,7 +14,7 @@
 
     private final EventLoopLagMonitor lagMonitor;
     private final ClientListener delegate;
-    /** Since when the queue may never have been empty; {@code Long.MAX_VALUE} if it is known to be empty. */
+    /** The time since which the queue may never have been empty; {@code Long.MAX_VALUE} if it is known to be empty. */
     private long queuedSinceUs = Long.MAX_VALUE;
     private long lastAcceptUs = Long.MIN_VALUE / 2;
     private int acceptedCount;
--- a/proxy/src/main/java/walkpost/proxy/ListRequest.java
+++ b/proxy/src/main/java/walkpost/proxy/ListRequest.java
@@ -27,16 +27,16 @@
 
 /**
  * Sends one request for the list of servers to discovery, on a connection of its own: with a few requests a minute, keeping connections
- * open gains nothing. It uses one descriptor and at most {@link #MAX_RESPONSE_BYTES} of memory. Only the connect has a time-out; the
+ * open gains nothing. It uses one descriptor and at most {@link #MAX_RESPONSE_BYTES} of memory. Only the connect has a timeout; the
  * caller must end a request whose response takes too long. Used on the event loop only.
  */
 final class ListRequest extends SimpleChannelInboundHandler<FullHttpResponse> {
     /** Is notified once, on the event loop, of how a request ended; never after {@link #end}. */
     interface Callback {
-        /** A list has been received whose outer fields are valid; its entries are not checked yet. */
+        /** Called when a list with valid outer fields has been received; its entries are not checked yet. */
         void received(JsonNode list);
 
-        /** The request has failed; {@code reason} is for the log. */
+        /** Called when the request has failed; {@code reason} is for the log. */
         void failed(CallFailure failure, String reason);
     }
 
