--- a/fleet/src/main/java/walkpost/fleet/FleetException.java
+++ b/fleet/src/main/java/walkpost/fleet/FleetException.java
@@ -44,7 +44,7 @@
 
         /** Names the address and the reason that the operating system gave. */
         public AddressTaken(String address, String reason) {
-            super("cannot listen at " + address + " (" + reason + ")", "free the port or set another 'bind', on this member only");
+            super("can't listen at " + address + " (" + reason + ")", "free the port or set another 'bind', on this member only");
         }
     }
 
