--- a/fleet/src/test/java/walkpost/fleet/sim/Node.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Node.java
@@ -179,9 +179,10 @@
 
         private Process(Life life) {
             this.life = life;
-            membership = new Membership(SimulatedFleet.MEMBERS, life, address, fleet.seeds(), time.nextSeed());
+            membership = new Membership(SimulatedFleet.MEMBER_SETTINGS, life, address, fleet.seeds(), time.nextSeed());
             for (int shard = 0; holdsReplicas && shard < fleet.shards; shard++) {
-                replicas.add(new ShardReplica(this, shard, new Shard(SimulatedFleet.COPY, life, fleet.configured, time.nextSeed())));
+                replicas.add(new ShardReplica(this, shard,
+                        new Shard(SimulatedFleet.SHARD_SETTINGS, life, fleet.configured, time.nextSeed())));
             }
             feed = holdsReplicas && fleet.layout == Layout.FEW_VOTE ? new SimulatedFeed(fleet, this) : null;
             observer = holdsReplicas ? null : new SimulatedObserver(fleet, this, time.nextSeed());
--- a/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Oracle.java
@@ -166,7 +166,7 @@
      * one, the process has to catch up, and messages sent before its end do not count for that.
      */
     void suspended(Node.Process process, long durationUs) {
-        if (durationUs * MIN_CLOCK_RATE > SimulatedFleet.COPY.maxClockStepUs() + MAX_TICK_US) {
+        if (durationUs * MIN_CLOCK_RATE > SimulatedFleet.SHARD_SETTINGS.maxClockStepUs() + MAX_TICK_US) {
             for (Node.ShardReplica replica : process.replicas) {
                 replica.view.suspendedUntilUs = fleet.time.nowUs() + durationUs;
                 replica.view.heardFrom.clear();
@@ -309,7 +309,7 @@
                 replica.view.promises.put(key, promise);
             }
             if (previous != null && !previous.id.equals(promised.id())
-                    && (nowUs - previous.atUs) / MIN_CLOCK_RATE < SimulatedFleet.COPY.promiseDurationUs()
+                    && (nowUs - previous.atUs) / MIN_CLOCK_RATE < SimulatedFleet.SHARD_SETTINGS.promiseDurationUs()
                     && !decided.containsKey(previous.id) && !abandonedRounds.contains(previous.round)) {
                 throw new Violation(Rule.PROMISE, replica.owner.node().name + " promises " + key + " to both " + previous.id
                         + " and " + promised.id());
@@ -383,7 +383,7 @@
 
     private void checkEntries(Node.ShardReplica replica) {
         for (Entry entry : replica.view.freshEntries.values()) {
-            if (trueAgeUs(replica, entry) > SimulatedFleet.COPY.stalenessBoundUs(entry.key().topic()) + MAX_HOP_WAIT_US) {
+            if (trueAgeUs(replica, entry) > SimulatedFleet.SHARD_SETTINGS.stalenessBoundUs(entry.key().topic()) + MAX_HOP_WAIT_US) {
                 throw new Violation(Rule.AGE, replica.owner.node().name + " acts on " + entry + ", which is at least "
                         + trueAgeUs(replica, entry) + " us old");
             }
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedFleet.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedFleet.java
@@ -35,10 +35,10 @@
     static final int VOTERS = 3;
     private static final int OBSERVERS = 12;
     static final List<String> REGIONS = List.of("north", "south");
-    static final ShardSettings COPY = ShardSettings.defaults()
+    static final ShardSettings SHARD_SETTINGS = ShardSettings.defaults()
             .withStalenessBounds(Map.of("verdict", 3 * SimClock.SECOND_US), 10 * SimClock.SECOND_US);
     /** The default settings, except that members probe dead members and synchronize sooner, so that a run does not take minutes. */
-    static final MemberSettings MEMBERS = withShortPeriods(MemberSettings.defaults());
+    static final MemberSettings MEMBER_SETTINGS = withShortPeriods(MemberSettings.defaults());
     static final List<String> ENTRY_TOPICS = List.of("verdict", "load");
     private static final List<String> ORDER_TOPICS = List.of("exclusion", "placement", "calendar");
 
