--- a/fleet/src/main/java/walkpost/fleet/member/CounterTally.java
+++ b/fleet/src/main/java/walkpost/fleet/member/CounterTally.java
@@ -2,9 +2,9 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import walkpost.fleet.member.MembershipFigures.Drop;
+import walkpost.fleet.member.MembershipCounters.Drop;
 
-/** Accumulates the counters of {@link MembershipFigures}. Owned by one {@link Membership}; not thread-safe. */
+/** Accumulates the counters of {@link MembershipCounters}. Owned by one {@link Membership}; not thread-safe. */
 final class CounterTally {
     /** The counted events, except for drops, which are counted by cause. */
     enum Counter { PINGS, ACKS, NACKS, SUSPICIONS, REFUTATIONS, FALSE_SUSPICIONS, DEATHS, LEAVES, JOINS, CONFLICTS, STANDSTILLS }
@@ -20,8 +20,8 @@
         dropped.merge(cause, 1L, Long::sum);
     }
 
-    MembershipFigures snapshot(int healthScore) {
-        return new MembershipFigures(countOf(Counter.PINGS), countOf(Counter.ACKS), countOf(Counter.NACKS), countOf(Counter.SUSPICIONS),
+    MembershipCounters snapshot(int healthScore) {
+        return new MembershipCounters(countOf(Counter.PINGS), countOf(Counter.ACKS), countOf(Counter.NACKS), countOf(Counter.SUSPICIONS),
                 countOf(Counter.REFUTATIONS), countOf(Counter.FALSE_SUSPICIONS), countOf(Counter.DEATHS), countOf(Counter.LEAVES),
                 countOf(Counter.JOINS), countOf(Counter.CONFLICTS), countOf(Counter.STANDSTILLS), healthScore, dropped);
     }
--- a/fleet/src/main/java/walkpost/fleet/member/IndirectProbes.java
+++ b/fleet/src/main/java/walkpost/fleet/member/IndirectProbes.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import walkpost.fleet.member.MembershipFigures.Drop;
+import walkpost.fleet.member.MembershipCounters.Drop;
 
 /**
  * Pings that this member sends on behalf of others. The requester gets the acknowledgement when it arrives. If there is none yet after a
--- a/fleet/src/main/java/walkpost/fleet/member/MemberUpdates.java
+++ b/fleet/src/main/java/walkpost/fleet/member/MemberUpdates.java
@@ -2,7 +2,7 @@
 
 import walkpost.fleet.member.CounterTally.Counter;
 import walkpost.fleet.member.LocalMember.Reply;
-import walkpost.fleet.member.MembershipFigures.Drop;
+import walkpost.fleet.member.MembershipCounters.Drop;
 
 /**
  * Updates the state of the other members from their own messages, from news that third members send, from unacknowledged pings and from
--- a/fleet/src/main/java/walkpost/fleet/member/Membership.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Membership.java
@@ -12,7 +12,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import walkpost.fleet.StateMachine;
 import walkpost.fleet.member.CounterTally.Counter;
-import walkpost.fleet.member.MembershipFigures.Drop;
+import walkpost.fleet.member.MembershipCounters.Drop;
 
 /**
  * Group membership and failure detection by SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
@@ -103,15 +103,15 @@
      * Returns the other living members, suspected members included, with an upper bound of their round-trip time in microseconds: the
      * smoothed mean plus four mean deviations, or the probe period if no round trip has been measured.
      */
-    public Map<String, Long> roundTripUs() {
-        return roundTripUs(Set.of());
+    public Map<String, Long> roundTripBoundsUs() {
+        return roundTripBoundsUs(Set.of());
     }
 
     /**
-     * Returns the same as {@link #roundTripUs()} and, with the probe period as their bound, the known members among {@code always} that
-     * are dead or have left. The caller contacts these members without waiting for news that they are back.
+     * Returns the same as {@link #roundTripBoundsUs()} and, with the probe period as their bound, the known members among
+     * {@code always} that are dead or have left. The caller contacts these members without waiting for news that they are back.
      */
-    public Map<String, Long> roundTripUs(Set<String> always) {
+    public Map<String, Long> roundTripBoundsUs(Set<String> always) {
         Map<String, Long> all = new LinkedHashMap<>();
         always.stream().filter(name -> members.get(name) != null).forEach(name -> all.put(name, settings.periodUs()));
         for (Member member : members.living()) {
@@ -122,7 +122,7 @@
     }
 
     /** Returns a snapshot of the counters. */
-    public MembershipFigures figures() {
+    public MembershipCounters counters() {
         return counters.snapshot(health.score());
     }
 
--- a/fleet/src/main/java/walkpost/fleet/member/MembershipFigures.java
+++ b/fleet/src/main/java/walkpost/fleet/member/MembershipCounters.java
@@ -21,9 +21,9 @@
  * @param health the current local health score (Lifeguard's local health multiplier minus one)
  * @param dropped messages and news that were rejected, by cause
  */
-public record MembershipFigures(long pings, long acks, long nacks, long suspicions, long refutations, long falseSuspicions, long deaths,
+public record MembershipCounters(long pings, long acks, long nacks, long suspicions, long refutations, long falseSuspicions, long deaths,
         long leaves, long joins, long conflicts, long standstills, int health, Map<Drop, Long> dropped) {
-    public MembershipFigures {
+    public MembershipCounters {
         dropped = Collections.unmodifiableMap(new TreeMap<>(dropped));
     }
 
--- a/fleet/src/main/java/walkpost/fleet/member/Prober.java
+++ b/fleet/src/main/java/walkpost/fleet/member/Prober.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import walkpost.fleet.member.CounterTally.Counter;
-import walkpost.fleet.member.MembershipFigures.Drop;
+import walkpost.fleet.member.MembershipCounters.Drop;
 
 /**
  * The failure detector. It pings one member per period, asks helpers to ping that member if no acknowledgement arrives in time, and
--- a/fleet/src/main/java/walkpost/fleet/shell/MemberLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/MemberLane.java
@@ -18,7 +18,7 @@
 import walkpost.fleet.member.MemberEvent;
 import walkpost.fleet.member.MemberMessage;
 import walkpost.fleet.member.Membership;
-import walkpost.fleet.member.MembershipFigures;
+import walkpost.fleet.member.MembershipCounters;
 import walkpost.fleet.member.Standing;
 
 /**
@@ -127,10 +127,10 @@
 
     /** Returns counts by name. */
     Map<String, Long> figures() {
-        MembershipFigures figures;
+        MembershipCounters figures;
         lock.lock();
         try {
-            figures = membership.figures();
+            figures = membership.counters();
         } finally {
             lock.unlock();
         }
@@ -159,7 +159,7 @@
             if (told.size() > membership.members().size()) {
                 told.keySet().retainAll(membership.members().stream().map(member -> member.life().name()).toList());
             }
-            return new ShardEvent.LivePeers(membership.roundTripUs(always));
+            return new ShardEvent.LivePeers(membership.roundTripBoundsUs(always));
         } finally {
             lock.unlock();
         }
--- a/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/DigestTest.java
@@ -113,7 +113,7 @@
         network.kill(network.node(2));
         network.periodsUntil(100, () -> network.allOthersHold("n2", Standing.DEAD));
         Membership membership = network.node(0).membership;
-        assertThat(membership.roundTripUs()).doesNotContainKey("n2");
-        assertThat(membership.roundTripUs(Set.of("n2", "nobody"))).containsKeys("n1", "n2").doesNotContainKey("nobody");
+        assertThat(membership.roundTripBoundsUs()).doesNotContainKey("n2");
+        assertThat(membership.roundTripBoundsUs(Set.of("n2", "nobody"))).containsKeys("n1", "n2").doesNotContainKey("nobody");
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/member/MemberNewsTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/MemberNewsTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import walkpost.fleet.member.MembershipFigures.Drop;
+import walkpost.fleet.member.MembershipCounters.Drop;
 
 /** Tests how one member handles valid and invalid news, and how large its messages are. */
 final class MemberNewsTest {
@@ -55,7 +55,7 @@
     }
 
     private long dropped(Drop cause) {
-        return membership.figures().dropped().getOrDefault(cause, 0L);
+        return membership.counters().dropped().getOrDefault(cause, 0L);
     }
 
     @Test
@@ -102,9 +102,9 @@
         assertThat(actions).contains(new MemberAction.Changed(new Member(new Life("me", 1_001), address(1), Standing.ALIVE)));
         assertThat(actions).anyMatch(action -> action instanceof MemberAction.SendTo send && send.message() instanceof MemberMessage.Ack ack
                 && ack.sender().incarnation() == 1_001 && ack.news().contains(News.of(viewOf("me"), "me")));
-        assertThat(membership.figures().refutations()).isOne();
+        assertThat(membership.counters().refutations()).isOne();
         receivePing(OTHER, address(2), news("me", 1_000, 1, Standing.SUSPECT));
-        assertThat(membership.figures().refutations()).as("refutations after the same suspicion has arrived again").isOne();
+        assertThat(membership.counters().refutations()).as("refutations after the same suspicion has arrived again").isOne();
     }
 
     @Test
@@ -157,7 +157,7 @@
         for (int i = 0; i < SETTINGS.livingKept() + 10; i++) {
             receivePing(new Life("x" + i, 1), address(3));
         }
-        assertThat(membership.roundTripUs()).hasSize(SETTINGS.livingKept());
+        assertThat(membership.roundTripBoundsUs()).hasSize(SETTINGS.livingKept());
         assertThat(dropped(Drop.FULL)).isEqualTo(10);
     }
 
--- a/fleet/src/test/java/walkpost/fleet/member/MembershipTest.java
+++ b/fleet/src/test/java/walkpost/fleet/member/MembershipTest.java
@@ -47,7 +47,7 @@
             network.lossRate = 0.3;
             network.run(periods);
             deaths += network.countDeaths(change -> true);
-            suspicions += network.nodes.values().stream().mapToLong(node -> node.membership.figures().suspicions()).sum();
+            suspicions += network.nodes.values().stream().mapToLong(node -> node.membership.counters().suspicions()).sum();
             network.lossRate = 0;
             assertThat(network.periodsUntil(60, network::hasConverged)).as("periods to agree, seed %d", seed).isLessThanOrEqualTo(60);
         }
@@ -87,8 +87,8 @@
             assertThat(network.periodsUntil(20, network::hasConverged)).isLessThanOrEqualTo(10);
             network.run(60);
             assertThat(network.countDeaths(change -> !change.member().life().name().equals("n3"))).isZero();
-            assertThat(paused.membership.figures().standstills()).isOne();
-            assertThat(paused.membership.figures().refutations()).isPositive();
+            assertThat(paused.membership.counters().standstills()).isOne();
+            assertThat(paused.membership.counters().refutations()).isPositive();
         }
     }
 
@@ -100,7 +100,7 @@
         network.kill(network.node(1));
         network.run(100);
         network.resume(network.node(2));
-        assertThat(network.periodsUntil(150, () -> network.node(2).membership.roundTripUs().isEmpty())).isLessThanOrEqualTo(100);
+        assertThat(network.periodsUntil(150, () -> network.node(2).membership.roundTripBoundsUs().isEmpty())).isLessThanOrEqualTo(100);
     }
 
     @ParameterizedTest
@@ -111,7 +111,7 @@
         network.run(periods);
         boolean isForgotten = periods * VirtualNetwork.PERIOD_US > SETTINGS.forgetUs();
         assertThat(network.node(0).viewOf("n9") == null).isEqualTo(isForgotten);
-        assertThat(network.node(0).membership.roundTripUs()).hasSize(4);
+        assertThat(network.node(0).membership.roundTripBoundsUs()).hasSize(4);
         network.changes.clear();
         network.isCut = (from, to) -> false;
         assertThat(network.periodsUntil(80, network::hasConverged)).isLessThanOrEqualTo(40);
@@ -166,7 +166,7 @@
         for (Node node : network.nodes.values()) {
             if (!node.name.equals("n2")) {
                 assertThat(node.viewOf("n2")).isEqualTo(new Member(new Life("n2", 9_000), address(50), Standing.ALIVE));
-                assertThat(node.membership.figures().conflicts()).isPositive();
+                assertThat(node.membership.counters().conflicts()).isPositive();
             }
         }
         network.kill(second);
--- a/fleet/src/test/java/walkpost/fleet/scale/Process.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Process.java
@@ -105,7 +105,7 @@
         handle(new MemberEvent.Tick());
         if (ticks++ % (host.voter() ? TICKS_A_SECOND : WATCHERS_TICKS) == 0 || changed) {
             changed = false;
-            peers(membership.roundTripUs(world.hasObservers() ? world.voters() : Set.of()));
+            peers(membership.roundTripBoundsUs(world.hasObservers() ? world.voters() : Set.of()));
         }
         ticked(world.nowUs());
         if (level()) {
--- a/fleet/src/test/java/walkpost/fleet/sim/Node.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Node.java
@@ -312,7 +312,7 @@
         }
 
         private void passOnPeers() {
-            Map<String, Long> living = membership.roundTripUs();
+            Map<String, Long> living = membership.roundTripBoundsUs();
             if (fleet.layout == Layout.FEW_VOTE) {
                 living = new TreeMap<>(living);
                 living.keySet().retainAll(fleet.configured);
