--- a/fleet/src/main/java/walkpost/fleet/observe/Feed.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Feed.java
@@ -14,7 +14,7 @@
 
 /**
  * A voter's side of observers: takes them up to a bound, answers their beats from one table of what stands in all shards, pushes
- * what changes, takes their orders and reports. It votes on nothing: what observers offer or order goes to the shards, which know
+ * what changes, takes their orders and reportedEntries. It votes on nothing: what observers offer or order goes to the shards, which know
  * voters only. See {@code docs/fleet.md}. Its parts own one state each; this class owns whether the voter is level.
  *
  * <p>Readers are to be called by whoever may call {@link #handle}, under the same lock; what they return stays as it is.
@@ -30,14 +30,14 @@
     private final ObserveSettings settings;
     private final String self;
     private final Set<String> voters;
-    private final Counts counts = new Counts();
+    private final ObserveCounters counters = new ObserveCounters();
     private final SlotTable table = new SlotTable();
-    private final Attached attached;
-    private final Comparing comparing;
-    private final Reports reports = new Reports(counts);
-    private final Proxied proxied = new Proxied(counts);
-    private final Sums sums;
-    private final Bucket questions = new Bucket(QUESTIONS_PER_SECOND);
+    private final Subscribers subscribers;
+    private final SlotSyncServer slotSync;
+    private final ReportedEntries reportedEntries = new ReportedEntries(counters);
+    private final ForwardedOrders forwardedOrders = new ForwardedOrders(counters);
+    private final ObserverCensus observerCensus;
+    private final TokenBucket questions = new TokenBucket(QUESTIONS_PER_SECOND);
     private Set<String> others = Set.of();
     private boolean level;
     private long levelUs = Long.MIN_VALUE;
@@ -54,56 +54,56 @@
         this.settings = settings;
         this.self = self;
         this.voters = Set.copyOf(voters);
-        attached = new Attached(settings, counts);
-        comparing = new Comparing(settings, table, counts);
-        sums = new Sums(settings, self, region);
+        subscribers = new Subscribers(settings, counters);
+        slotSync = new SlotSyncServer(settings, table, counters);
+        observerCensus = new ObserverCensus(settings, self, region);
     }
 
     @Override
     public void handle(long nowUs, FeedEvent event, Consumer<FeedAction> actions) {
         if (lastUs != Long.MIN_VALUE && nowUs - lastUs > GAP_US) {
-            counts.count("stood_still");
-            attached.stoodStill(nowUs - lastUs);
+            counters.increment("stood_still");
+            subscribers.stoodStill(nowUs - lastUs);
         }
         lastUs = nowUs;
-        proxied.clock(nowUs);
-        Send send = (to, message) -> actions.accept(new FeedAction.Send(to, message));
+        forwardedOrders.clock(nowUs);
+        MessageSender sender = (to, message) -> actions.accept(new FeedAction.Send(to, message));
         if (event instanceof FeedEvent.Tick) {
             table.forget(nowUs, settings.removalUs());
-            attached.tick(nowUs, table, awayUs(nowUs), send);
-            reports.forget(nowUs, attached);
-            proxied.tick(nowUs);
-            sums.tick(nowUs, others, attached.byRegion(), send);
+            subscribers.tick(nowUs, table, awayUs(nowUs), sender);
+            reportedEntries.forget(nowUs, subscribers);
+            forwardedOrders.tick(nowUs);
+            observerCensus.tick(nowUs, others, subscribers.byRegion(), sender);
         } else if (event instanceof FeedEvent.Received received) {
-            receive(nowUs, received.from(), received.message(), send, actions);
+            receive(nowUs, received.from(), received.message(), sender, actions);
         } else if (event instanceof FeedEvent.Asked asked) {
             if (questions.take(nowUs, 1)) {
-                answerEntries(nowUs, asked.from(), asked.question(), asked.own(), send);
+                answerEntries(nowUs, asked.from(), asked.question(), asked.own(), sender);
             }
         } else if (event instanceof FeedEvent.Changed changed) {
-            changed(nowUs, changed.slots(), send);
+            changed(nowUs, changed.slots(), sender);
         } else if (event instanceof FeedEvent.CaughtUpChanged now) {
             levelUs = level ? nowUs : levelUs;
             level = now.level();
         } else if (event instanceof FeedEvent.Voters living) {
             others = new TreeSet<>(living.names().stream().filter(name -> voters.contains(name) && !name.equals(self)).toList());
         } else if (event instanceof FeedEvent.Acknowledged acknowledged) {
-            proxied.acknowledged(nowUs, acknowledged.id(), acknowledged.order(), send);
+            forwardedOrders.acknowledged(nowUs, acknowledged.id(), acknowledged.order(), sender);
         } else if (event instanceof FeedEvent.Refused refused) {
-            proxied.refused(nowUs, refused.id(), refused.why(), send);
+            forwardedOrders.refused(nowUs, refused.id(), refused.why(), sender);
         }
     }
 
     /** Returns how many observers live by region, as all voters together know. */
     public Map<String, Integer> lives(long nowUs) {
-        return sums.lives(nowUs, attached.byRegion());
+        return observerCensus.lives(nowUs, subscribers.byRegion());
     }
 
     /** Returns counts by name, {@code observers} among them. */
     public Map<String, Long> figures() {
-        Map<String, Long> all = counts.all();
-        all.put("observers", (long) attached.size());
-        all.put("facts", (long) reports.size());
+        Map<String, Long> all = counters.snapshot();
+        all.put("observers", (long) subscribers.size());
+        all.put("facts", (long) reportedEntries.size());
         all.put("slots", (long) table.size());
         return all;
     }
@@ -112,93 +112,93 @@
         return level ? 0 : levelUs == Long.MIN_VALUE ? Observer.NEVER_US : nowUs - levelUs;
     }
 
-    private void changed(long nowUs, List<Slot> slots, Send send) {
+    private void changed(long nowUs, List<Slot> slots, MessageSender sender) {
         slots.forEach(slot -> table.put(nowUs, slot));
         // What is forgotten is nobody's news: each forgets removals by itself.
-        attached.push(nowUs, slots.stream().filter(slot -> !slot.hasNoHistory()).toList(), awayUs(nowUs), send);
+        subscribers.push(nowUs, slots.stream().filter(slot -> !slot.hasNoHistory()).toList(), awayUs(nowUs), sender);
     }
 
-    private void receive(long nowUs, String from, ObserveMessage message, Send send, Consumer<FeedAction> actions) {
+    private void receive(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<FeedAction> actions) {
         if (message instanceof ObserveMessage.AskEntries asked) {
             if (questions.take(nowUs, 1)) {
-                answerEntries(nowUs, from, asked, List.of(), send);
+                answerEntries(nowUs, from, asked, List.of(), sender);
             }
         } else if (message instanceof ObserveMessage.AskHeld asked) {
             if (questions.take(nowUs, 1)) {
-                held(from, asked, send);
+                held(from, asked, sender);
             }
         } else if (message instanceof ObserveMessage.Sum sum) {
             if (voters.contains(from)) {
-                sums.take(nowUs, from, sum);
+                observerCensus.take(nowUs, from, sum);
             } else {
-                counts.count("dropped.no_voter");
+                counters.increment("dropped.no_voter");
             }
         } else if (voters.contains(from)) {
             // A voter that takes itself for an observer has another file than this one.
-            counts.count("dropped.voter_as_observer");
+            counters.increment("dropped.voter_as_observer");
         } else {
-            observer(nowUs, from, message, send, actions);
+            observer(nowUs, from, message, sender, actions);
         }
     }
 
-    private void observer(long nowUs, String from, ObserveMessage message, Send send, Consumer<FeedAction> actions) {
+    private void observer(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<FeedAction> actions) {
         if (message instanceof ObserveMessage.Beat beat) {
-            boolean known = attached.beat(nowUs, from, beat.primary(), level && comparing.equal(beat.root()));
-            send.to(from, known
-                    ? new ObserveMessage.Echo(beat.seq(), level, awayUs(nowUs), comparing.nodes(beat.root()), lives(nowUs))
+            boolean known = subscribers.beat(nowUs, from, beat.primary(), level && slotSync.equal(beat.root()));
+            sender.send(from, known
+                    ? new ObserveMessage.Echo(beat.seq(), level, awayUs(nowUs), slotSync.nodes(beat.root()), lives(nowUs))
                     : new ObserveMessage.Later(beat.seq(), ObserveMessage.Reason.UNKNOWN, 0));
         } else if (message instanceof ObserveMessage.Join join) {
-            ObserveMessage.Later refusal = attached.join(nowUs, from, join);
-            send.to(from, refusal != null ? refusal : new ObserveMessage.Welcome(join.seq(), sums.regions()));
+            ObserveMessage.Later refusal = subscribers.join(nowUs, from, join);
+            sender.send(from, refusal != null ? refusal : new ObserveMessage.Welcome(join.seq(), observerCensus.regions()));
         } else if (message instanceof ObserveMessage.Leave) {
-            attached.leave(from);
+            subscribers.leave(from);
         } else if (message instanceof ObserveMessage.Taken taken) {
-            attached.taken(from, taken.number());
+            subscribers.taken(from, taken.number());
         } else if (message instanceof ObserveMessage.Report report) {
-            reports.take(nowUs, from, report.facts());
+            reportedEntries.take(nowUs, from, report.facts());
         } else if (message instanceof ObserveMessage.Leaves leaves) {
-            comparing.leaves(from, leaves, send);
+            slotSync.leaves(from, leaves, sender);
         } else if (message instanceof ObserveMessage.Want want) {
-            comparing.want(from, want, awayUs(nowUs), send);
+            slotSync.want(from, want, awayUs(nowUs), sender);
         } else if (message instanceof ObserveMessage.Offer offer) {
-            List<Slot> more = comparing.offered(nowUs, from, offer, awayUs(nowUs), send);
+            List<Slot> more = slotSync.offered(nowUs, from, offer, awayUs(nowUs), sender);
             if (!more.isEmpty()) {
-                counts.count("offers.taken");
+                counters.increment("offers.taken");
                 actions.accept(new FeedAction.Offer(more));
             }
         } else if (message instanceof ObserveMessage.Call call) {
-            if (proxied.take(nowUs, from, call, send)) {
+            if (forwardedOrders.take(nowUs, from, call, sender)) {
                 actions.accept(new FeedAction.Propose(call.key(), call.id(), call.replaces(), call.payload()));
             }
         } else {
-            counts.count("dropped.not_for_voters");
+            counters.increment("dropped.not_for_voters");
         }
     }
 
-    private void answerEntries(long nowUs, String from, ObserveMessage.AskEntries asked, List<Entry> own, Send send) {
+    private void answerEntries(long nowUs, String from, ObserveMessage.AskEntries asked, List<Entry> own, MessageSender sender) {
         List<Entry> all = new ArrayList<>(own);
         if (asked.topic() != null) {
-            all.addAll(reports.on(asked.topic(), nowUs));
+            all.addAll(reportedEntries.on(asked.topic(), nowUs));
         }
         List<List<Entry>> parts = MessageSizes.split(all, MessageSizes::bytesOf);
         if (parts.isEmpty()) {
             parts.add(List.of());
         }
         for (int part = 0; part < parts.size(); part++) {
-            send.to(from, new ObserveMessage.Entries(asked.seq(), part, parts.size(), parts.get(part)));
+            sender.send(from, new ObserveMessage.Entries(asked.seq(), part, parts.size(), parts.get(part)));
         }
     }
 
-    private void held(String from, ObserveMessage.AskHeld asked, Send send) {
+    private void held(String from, ObserveMessage.AskHeld asked, MessageSender sender) {
         Slot slot = table.slot(asked.key());
         boolean here = slot.heads().stream().map(Order::id).anyMatch(asked.id()::equals) || slot.replaced().containsKey(asked.id());
         List<String> lacking = new ArrayList<>();
         if (!here) {
             lacking.add(self);
         }
-        attached.counted().stream().filter(name -> !here || !attached.holds(name, asked.key())).forEach(lacking::add);
-        int of = attached.counted().size() + 1;
-        send.to(from, new ObserveMessage.Held(asked.seq(), of - lacking.size(), of,
+        subscribers.counted().stream().filter(name -> !here || !subscribers.holds(name, asked.key())).forEach(lacking::add);
+        int of = subscribers.counted().size() + 1;
+        sender.send(from, new ObserveMessage.Held(asked.seq(), of - lacking.size(), of,
                 lacking.subList(0, Math.min(MOST_NAMED, lacking.size()))));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Feeds.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
@@ -14,7 +14,7 @@
  * refuses, or does not answer, is left alone for a while that grows up to a bound and is drawn, so that many observers that lost one
  * voter do not come to the others together.
  */
-final class Feeds {
+final class FeedSubscriptions {
     static final int WANTED = 2;
     /** For how long answers to probes are waited for; the slowest of two regions is far below. */
     private static final long PROBE_US = 400_000;
@@ -22,7 +22,7 @@
     private static final int MOST_SENT = 8;
 
     /** One voter that feeds this observer, or is asked to. */
-    private static final class Feed {
+    private static final class Subscription {
         private final String voter;
         private boolean joined;
         /** Of the join or the beats that are not answered yet, when each was sent. */
@@ -32,7 +32,7 @@
         private long nextBeatUs;
         private int unanswered;
 
-        private Feed(String voter, long nowUs) {
+        private Subscription(String voter, long nowUs) {
             this.voter = voter;
             this.heardUs = nowUs;
         }
@@ -44,9 +44,9 @@
     private final ObserveSettings settings;
     private final String self;
     private final String region;
-    private final Counts counts;
+    private final ObserveCounters counters;
     private final UniformRandomProvider random;
-    private final List<Feed> feeds = new ArrayList<>();
+    private final List<Subscription> subscriptions = new ArrayList<>();
     private final Map<String, Long> waitUntilUs = new HashMap<>();
     private final Map<String, Probe> probes = new TreeMap<>();
     private final Map<String, Long> roundTripUs = new TreeMap<>();
@@ -58,11 +58,11 @@
     private long backOffUs;
     private boolean started;
 
-    Feeds(ObserveSettings settings, String self, String region, Counts counts, UniformRandomProvider random) {
+    FeedSubscriptions(ObserveSettings settings, String self, String region, ObserveCounters counters, UniformRandomProvider random) {
         this.settings = settings;
         this.self = self;
         this.region = region;
-        this.counts = counts;
+        this.counters = counters;
         this.random = random;
         this.backOffUs = settings.backOffUs();
     }
@@ -74,7 +74,7 @@
 
     /** Returns those that have taken this observer, the one that counts it first. */
     List<String> joined() {
-        return feeds.stream().filter(feed -> feed.joined).map(feed -> feed.voter).toList();
+        return subscriptions.stream().filter(subscription -> subscription.joined).map(subscription -> subscription.voter).toList();
     }
 
     /** Returns all voters to try with a call, the best first. */
@@ -91,99 +91,99 @@
 
     /** This process stood still: what was sent to it meanwhile may be unread, and silence does not count. */
     void stoodStill(long gapUs) {
-        feeds.forEach(feed -> feed.heardUs += gapUs);
+        subscriptions.forEach(subscription -> subscription.heardUs += gapUs);
     }
 
-    void tick(long nowUs, long root, long awayUs, Send send) {
+    void tick(long nowUs, long root, long awayUs, MessageSender sender) {
         if (!started) {
             started = true;
             // A draw at the start as well: a whole fleet may be starting.
             nextProbeUs = nowUs + random.nextLong(settings.backOffUs());
         }
-        for (Feed feed : List.copyOf(feeds)) {
-            long patienceUs = feed.joined ? settings.silenceUs() : 3 * settings.repeatUs();
-            if (nowUs - feed.heardUs > patienceUs) {
-                counts.count(feed.joined ? "feeds.silent" : "joins.unanswered");
-                wait(nowUs, feed.voter, settings.silenceUs());
-                lost(nowUs, feed);
-            } else if (!feed.joined && nowUs - feed.sentUs >= settings.repeatUs()) {
-                join(nowUs, feed, send);
-            } else if (feed.joined && (nowUs >= feed.nextBeatUs || overdue(nowUs, feed))) {
-                beat(nowUs, feed, root, awayUs, send);
+        for (Subscription subscription : List.copyOf(subscriptions)) {
+            long patienceUs = subscription.joined ? settings.silenceUs() : 3 * settings.repeatUs();
+            if (nowUs - subscription.heardUs > patienceUs) {
+                counters.increment(subscription.joined ? "feeds.silent" : "joins.unanswered");
+                wait(nowUs, subscription.voter, settings.silenceUs());
+                lost(nowUs, subscription);
+            } else if (!subscription.joined && nowUs - subscription.sentUs >= settings.repeatUs()) {
+                join(nowUs, subscription, sender);
+            } else if (subscription.joined && (nowUs >= subscription.nextBeatUs || overdue(nowUs, subscription))) {
+                beat(nowUs, subscription, root, awayUs, sender);
             }
         }
         if (nowUs >= decideUs) {
             decideUs = Long.MAX_VALUE;
-            decide(nowUs, send);
+            decide(nowUs, sender);
         } else if (decideUs == Long.MAX_VALUE && nowUs >= nextProbeUs) {
-            probe(nowUs, root, awayUs, send);
+            probe(nowUs, root, awayUs, sender);
         }
     }
 
     /** Has this voter asked at once: its copy may be better now, or this one has just changed. */
     void beatSoon(long nowUs, String voter) {
-        feeds.stream().filter(feed -> feed.voter.equals(voter)).forEach(feed -> feed.nextBeatUs = nowUs);
+        subscriptions.stream().filter(subscription -> subscription.voter.equals(voter)).forEach(subscription -> subscription.nextBeatUs = nowUs);
     }
 
     /** Whether a beat may have got lost. The waits double: a voter that is merely slow is not to have more to do for that. */
-    private boolean overdue(long nowUs, Feed feed) {
-        return feed.unanswered > 0 && nowUs - feed.sentUs >= settings.repeatUs() << Math.min(feed.unanswered - 1, 4);
+    private boolean overdue(long nowUs, Subscription subscription) {
+        return subscription.unanswered > 0 && nowUs - subscription.sentUs >= settings.repeatUs() << Math.min(subscription.unanswered - 1, 4);
     }
 
     /** Returns when the beat was sent that this answers, or null where it answers none of a feed's. */
     Long echo(long nowUs, String from, long seq) {
         probed(nowUs, from, seq);
-        Feed feed = feed(from);
-        Long sentUs = feed == null || !feed.joined ? null : feed.sent.get(seq);
+        Subscription subscription = find(from);
+        Long sentUs = subscription == null || !subscription.joined ? null : subscription.sent.get(seq);
         if (sentUs != null) {
             roundTripUs.put(from, Math.max(1, nowUs - sentUs));
-            feed.heardUs = nowUs;
-            feed.unanswered = 0;
-            feed.sent.headMap(seq, true).clear();
+            subscription.heardUs = nowUs;
+            subscription.unanswered = 0;
+            subscription.sent.headMap(seq, true).clear();
         }
         return sentUs;
     }
 
     /** Returns whether a feed has been won. */
     boolean welcome(long nowUs, String from, ObserveMessage.Welcome welcome) {
-        Feed feed = feed(from);
-        if (feed == null || feed.joined || !feed.sent.containsKey(welcome.seq())) {
+        Subscription subscription = find(from);
+        if (subscription == null || subscription.joined || !subscription.sent.containsKey(welcome.seq())) {
             return false;
         }
         regions.putAll(welcome.regions());
-        feed.joined = true;
-        feed.heardUs = nowUs;
-        feed.unanswered = 0;
-        feed.sent.clear();
-        feed.nextBeatUs = nowUs;
+        subscription.joined = true;
+        subscription.heardUs = nowUs;
+        subscription.unanswered = 0;
+        subscription.sent.clear();
+        subscription.nextBeatUs = nowUs;
         backOffUs = settings.backOffUs();
-        counts.count("joins");
+        counters.increment("joins");
         return true;
     }
 
-    void later(long nowUs, String from, ObserveMessage.Later later, Send send) {
+    void later(long nowUs, String from, ObserveMessage.Later later, MessageSender sender) {
         probed(nowUs, from, later.seq());
-        Feed feed = feed(from);
-        if (feed == null || feed.sent.remove(later.seq()) == null) {
+        Subscription subscription = find(from);
+        if (subscription == null || subscription.sent.remove(later.seq()) == null) {
             return;
         }
-        if (later.why() == ObserveMessage.Reason.UNKNOWN && feed.joined) {
+        if (later.why() == ObserveMessage.Reason.UNKNOWN && subscription.joined) {
             // It has begun anew, or has held this observer for gone.
-            feed.joined = false;
-            feed.heardUs = nowUs;
-            feed.sent.clear();
-            join(nowUs, feed, send);
+            subscription.joined = false;
+            subscription.heardUs = nowUs;
+            subscription.sent.clear();
+            join(nowUs, subscription, sender);
             return;
         }
-        counts.count("joins.refused");
+        counters.increment("joins.refused");
         long atLeastUs = Math.max(0, Math.min(later.retryMs(), 60_000)) * 1_000;
         wait(nowUs, from, atLeastUs + random.nextLong(settings.backOffUs()));
-        lost(nowUs, feed);
+        lost(nowUs, subscription);
         nextProbeUs = nowUs + random.nextLong(settings.backOffUs());
     }
 
-    private Feed feed(String voter) {
-        return feeds.stream().filter(feed -> feed.voter.equals(voter)).findFirst().orElse(null);
+    private Subscription subscription(String voter) {
+        return subscriptions.stream().filter(subscription -> subscription.voter.equals(voter)).findFirst().orElse(null);
     }
 
     private void probed(long nowUs, String from, long seq) {
@@ -193,8 +193,8 @@
         }
     }
 
-    private void lost(long nowUs, Feed feed) {
-        feeds.remove(feed);
+    private void lost(long nowUs, Subscription subscription) {
+        subscriptions.remove(subscription);
         nextProbeUs = Math.min(nextProbeUs, nowUs);
     }
 
@@ -202,56 +202,56 @@
         waitUntilUs.put(voter, nowUs + forUs);
     }
 
-    private void probe(long nowUs, long root, long awayUs, Send send) {
+    private void probe(long nowUs, long root, long awayUs, MessageSender sender) {
         probes.clear();
-        roundTripUs.keySet().removeIf(name -> feed(name) == null);
+        roundTripUs.keySet().removeIf(name -> find(name) == null);
         for (String voter : living) {
-            if (feed(voter) == null && waitUntilUs.getOrDefault(voter, Long.MIN_VALUE) <= nowUs) {
+            if (find(voter) == null && waitUntilUs.getOrDefault(voter, Long.MIN_VALUE) <= nowUs) {
                 probes.put(voter, new Probe(++seqs, nowUs));
-                send.to(voter, new ObserveMessage.Beat(seqs, false, root, awayUs));
+                sender.send(voter, new ObserveMessage.Beat(seqs, false, root, awayUs));
             }
         }
         decideUs = nowUs + PROBE_US;
     }
 
-    private void decide(long nowUs, Send send) {
+    private void decide(long nowUs, MessageSender sender) {
         Map<String, Long> had = new TreeMap<>(roundTripUs);
-        had.keySet().removeIf(name -> feed(name) == null && waitUntilUs.getOrDefault(name, Long.MIN_VALUE) > nowUs);
+        had.keySet().removeIf(name -> find(name) == null && waitUntilUs.getOrDefault(name, Long.MIN_VALUE) > nowUs);
         List<String> best = VoterChoice.of(self, had, regions);
-        boolean full = feeds.size() >= WANTED;
-        List<String> missing = best.stream().filter(name -> feed(name) == null).toList();
+        boolean full = subscriptions.size() >= WANTED;
+        List<String> missing = best.stream().filter(name -> find(name) == null).toList();
         if (!missing.isEmpty()) {
             if (full) {
-                leaveOne(best, send);
+                leaveOne(best, sender);
             }
-            if (feeds.size() < WANTED) {
-                Feed feed = new Feed(missing.get(0), nowUs);
-                feeds.add(feed);
-                join(nowUs, feed, send);
+            if (subscriptions.size() < WANTED) {
+                Subscription subscription = new Subscription(missing.get(0), nowUs);
+                subscriptions.add(subscription);
+                join(nowUs, subscription, sender);
             }
         }
-        if (feeds.size() < WANTED) {
+        if (subscriptions.size() < WANTED) {
             // Few voters answer, or it is this side that is cut off. Where one is fed already there is no haste.
             nextProbeUs = nowUs + (missing.isEmpty() ? drawn() : settings.repeatUs());
         } else {
             nextProbeUs = nowUs + settings.rebalanceUs() / 2 + random.nextLong(settings.rebalanceUs());
         }
-        feeds.sort((one, other) -> Long.compare(rank(best, one), rank(best, other)));
+        subscriptions.sort((one, other) -> Long.compare(rank(best, one), rank(best, other)));
     }
 
     /** One that is not wanted any more makes room; never more than one at a time, so that one always feeds. */
-    private void leaveOne(List<String> best, Send send) {
-        Feed worst = feeds.stream().filter(feed -> !best.contains(feed.voter)).reduce((one, other) -> other).orElse(null);
-        if (worst != null && feeds.stream().anyMatch(feed -> feed != worst && feed.joined)) {
-            feeds.remove(worst);
-            send.to(worst.voter, new ObserveMessage.Leave());
-            counts.count("feeds.changed");
+    private void leaveOne(List<String> best, MessageSender sender) {
+        Subscription worst = subscriptions.stream().filter(subscription -> !best.contains(subscription.voter)).reduce((one, other) -> other).orElse(null);
+        if (worst != null && subscriptions.stream().anyMatch(subscription -> subscription != worst && subscription.joined)) {
+            subscriptions.remove(worst);
+            sender.send(worst.voter, new ObserveMessage.Leave());
+            counters.increment("feeds.changed");
         }
     }
 
-    private static int rank(List<String> best, Feed feed) {
-        int at = best.indexOf(feed.voter);
-        return (feed.joined ? 0 : 10) + (at < 0 ? 5 : at);
+    private static int rank(List<String> best, Subscription subscription) {
+        int at = best.indexOf(subscription.voter);
+        return (subscription.joined ? 0 : 10) + (at < 0 ? 5 : at);
     }
 
     private long drawn() {
@@ -260,27 +260,27 @@
         return wait;
     }
 
-    private void join(long nowUs, Feed feed, Send send) {
-        send.to(feed.voter, new ObserveMessage.Join(number(nowUs, feed), region, primary(feed)));
+    private void join(long nowUs, Subscription subscription, MessageSender sender) {
+        sender.send(subscription.voter, new ObserveMessage.Join(number(nowUs, subscription), region, primary(subscription)));
     }
 
-    private void beat(long nowUs, Feed feed, long root, long awayUs, Send send) {
+    private void beat(long nowUs, Subscription subscription, long root, long awayUs, MessageSender sender) {
         // The draw keeps observers that started together from beating together for ever.
-        feed.nextBeatUs = nowUs + settings.beatUs() - random.nextLong(Math.max(1, settings.beatUs() / 8));
-        send.to(feed.voter, new ObserveMessage.Beat(number(nowUs, feed), primary(feed), root, awayUs));
-        feed.unanswered++;
+        subscription.nextBeatUs = nowUs + settings.beatUs() - random.nextLong(Math.max(1, settings.beatUs() / 8));
+        sender.send(subscription.voter, new ObserveMessage.Beat(number(nowUs, subscription), primary(subscription), root, awayUs));
+        subscription.unanswered++;
     }
 
-    private long number(long nowUs, Feed feed) {
-        feed.sentUs = nowUs;
-        feed.sent.put(++seqs, nowUs);
-        if (feed.sent.size() > MOST_SENT) {
-            feed.sent.pollFirstEntry();
+    private long number(long nowUs, Subscription subscription) {
+        subscription.sentUs = nowUs;
+        subscription.sent.put(++seqs, nowUs);
+        if (subscription.sent.size() > MOST_SENT) {
+            subscription.sent.pollFirstEntry();
         }
         return seqs;
     }
 
-    private boolean primary(Feed feed) {
-        return feeds.get(0) == feed;
+    private boolean primary(Subscription subscription) {
+        return subscriptions.get(0) == subscription;
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Proxied.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ForwardedOrders.java
@@ -9,7 +9,7 @@
  * Observers' orders that this voter has given to its shards: owns who waits for the answer to each, and for a while what the answer was,
  * so that a copy of a call that comes late, or comes again, is answered the same and proposed no more: its caller may have been told.
  */
-final class Proxied {
+final class ForwardedOrders {
     /** So many may be under way at a time: beyond that a voter refuses at once, and the observer tries another. */
     private static final int MOST = 256;
     /** So many answers are kept. */
@@ -35,13 +35,13 @@
 
     private record Answered(ObserveMessage.Answer answer, long atUs) { }
 
-    private final Counts counts;
+    private final ObserveCounters counters;
     private final Map<String, Waiting> waiting = new LinkedHashMap<>();
     private final Map<Asked, Answered> answered = new LinkedHashMap<>();
     private long bornUs = Long.MIN_VALUE;
 
-    Proxied(Counts counts) {
-        this.counts = counts;
+    ForwardedOrders(ObserveCounters counters) {
+        this.counters = counters;
     }
 
     /** Something has happened at this time; the first time is this life's beginning. */
@@ -50,10 +50,10 @@
     }
 
     /** Takes a call. Returns true where it is to be proposed: neither answered nor on its way already, nor one too many. */
-    boolean take(long nowUs, String from, ObserveMessage.Call call, Send send) {
+    boolean take(long nowUs, String from, ObserveMessage.Call call, MessageSender sender) {
         Answered before = answered.get(new Asked(from, call.id()));
         if (before != null && (before.answer.order() != null || call.attempt() <= before.answer.attempt())) {
-            send.to(from, at(nowUs, before.answer, before.answer.attempt()));
+            sender.send(from, at(nowUs, before.answer, before.answer.attempt()));
             return false;
         }
         Waiting known = waiting.get(call.id());
@@ -62,28 +62,28 @@
             return false;
         }
         if (waiting.size() >= MOST) {
-            counts.count("calls.refused_many");
+            counters.increment("calls.refused_many");
             ObserveMessage.Answer full = answer(call.id(), new FleetException.Full("orders under way at this voter", MOST), true);
-            answer(nowUs, from, full, call.attempt(), send);
+            answer(nowUs, from, full, call.attempt(), sender);
             return false;
         }
         var first = new Waiting(nowUs);
         first.observers.put(from, call.attempt());
         waiting.put(call.id(), first);
-        counts.count("calls");
+        counters.increment("calls");
         return true;
     }
 
-    void acknowledged(long nowUs, String id, Order order, Send send) {
-        end(nowUs, id, new ObserveMessage.Answer(id, 0, 0, order, null, null, null, false), send);
+    void acknowledged(long nowUs, String id, Order order, MessageSender sender) {
+        end(nowUs, id, new ObserveMessage.Answer(id, 0, 0, order, null, null, null, false), sender);
     }
 
-    void refused(long nowUs, String id, FleetException why, Send send) {
+    void refused(long nowUs, String id, FleetException why, MessageSender sender) {
         // Of these another voter, or this one a moment later, may well make something; what the order is about has not changed.
         boolean again = why instanceof FleetException.NotLevel || why instanceof FleetException.NoMajority
                 || why instanceof FleetException.Uncertain || why instanceof FleetException.BadDirectory
                 || why instanceof FleetException.Busy busy && busy.isSameOrder();
-        end(nowUs, id, answer(id, why, again), send);
+        end(nowUs, id, answer(id, why, again), sender);
     }
 
     void tick(long nowUs) {
@@ -91,14 +91,14 @@
         answered.values().removeIf(each -> nowUs - each.atUs > ANSWERED_US);
     }
 
-    private void end(long nowUs, String id, ObserveMessage.Answer answer, Send send) {
+    private void end(long nowUs, String id, ObserveMessage.Answer answer, MessageSender sender) {
         Waiting over = waiting.remove(id);
         if (over != null) {
-            over.observers.forEach((to, attempt) -> answer(nowUs, to, answer, attempt, send));
+            over.observers.forEach((to, attempt) -> answer(nowUs, to, answer, attempt, sender));
         }
     }
 
-    private void answer(long nowUs, String to, ObserveMessage.Answer answer, long attempt, Send send) {
+    private void answer(long nowUs, String to, ObserveMessage.Answer answer, long attempt, MessageSender sender) {
         var asked = new Asked(to, answer.id());
         Answered before = answered.remove(asked);
         ObserveMessage.Answer told = answer;
@@ -111,7 +111,7 @@
             answered.remove(answered.keySet().iterator().next());
         }
         answered.put(asked, new Answered(told, nowUs));
-        send.to(to, told);
+        sender.send(to, told);
     }
 
     private ObserveMessage.Answer at(long nowUs, ObserveMessage.Answer told, long attempt) {
--- a/fleet/src/main/java/walkpost/fleet/observe/Observer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Observer.java
@@ -35,12 +35,12 @@
 
     private final ObserveSettings settings;
     private final Set<String> voters;
-    private final Counts counts = new Counts();
+    private final ObserveCounters counters = new ObserveCounters();
     private final SlotTable table = new SlotTable();
-    private final Feeds feeds;
-    private final Comparison comparison;
-    private final Calls calls;
-    private final OwnEntries facts;
+    private final FeedSubscriptions subscriptions;
+    private final SlotSyncClient slotSync;
+    private final OrderForwarder orderForwarder;
+    private final OwnEntries ownEntries;
     private final Map<Order.Key, EffectiveOrder> told = new HashMap<>();
     private final Set<Order.Key> untold = new LinkedHashSet<>();
     private Map<String, Integer> lives = Map.of();
@@ -65,31 +65,31 @@
         this.settings = settings;
         this.voters = Set.copyOf(voters);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        feeds = new Feeds(settings, self.name(), region, counts, random);
-        comparison = new Comparison(table, counts, seed);
-        calls = new Calls(settings, self, counts);
-        facts = new OwnEntries(self, counts);
+        subscriptions = new FeedSubscriptions(settings, self.name(), region, counters, random);
+        slotSync = new SlotSyncClient(table, counters, seed);
+        orderForwarder = new OrderForwarder(settings, self, counters);
+        ownEntries = new OwnEntries(self, counters);
     }
 
     @Override
     public void handle(long nowUs, ObserverEvent event, Consumer<ObserverAction> actions) {
         clock(nowUs);
-        Send send = (to, message) -> actions.accept(new ObserverAction.Send(to, message));
+        MessageSender sender = (to, message) -> actions.accept(new ObserverAction.Send(to, message));
         if (event instanceof ObserverEvent.Tick) {
-            tick(nowUs, send, actions);
+            tick(nowUs, sender, actions);
         } else if (event instanceof ObserverEvent.Voters living) {
-            feeds.living(new TreeSet<>(living.roundTripUs().keySet().stream().filter(voters::contains).toList()));
+            subscriptions.living(new TreeSet<>(living.roundTripUs().keySet().stream().filter(voters::contains).toList()));
         } else if (event instanceof ObserverEvent.Received received) {
             if (voters.contains(received.from())) {
-                receive(nowUs, received.from(), received.message(), send, actions);
+                receive(nowUs, received.from(), received.message(), sender, actions);
             } else {
-                counts.count("dropped.no_voter");
+                counters.increment("dropped.no_voter");
             }
         } else if (event instanceof ObserverEvent.WriteEntry tell) {
-            facts.write(nowUs, tell.topic(), tell.subject(), tell.payload());
+            ownEntries.write(nowUs, tell.topic(), tell.subject(), tell.payload());
         } else if (event instanceof ObserverEvent.Propose propose) {
-            calls.propose(nowUs, propose);
-            calls.tick(nowUs, feeds.inTurn(), controlAgeUs(nowUs), send, actions);
+            orderForwarder.propose(nowUs, propose);
+            orderForwarder.tick(nowUs, subscriptions.inTurn(), controlAgeUs(nowUs), sender, actions);
         }
         settle(nowUs, actions);
     }
@@ -111,7 +111,7 @@
 
     /** Returns the voters that feed this observer now, the one that counts it first. */
     public List<String> feeds() {
-        return feeds.joined();
+        return subscriptions.joined();
     }
 
     /** Returns how many observers live by region, as the voters say; empty where that is not known. */
@@ -121,7 +121,7 @@
 
     /** Returns counts by name. */
     public Map<String, Long> figures() {
-        Map<String, Long> all = counts.all();
+        Map<String, Long> all = counters.snapshot();
         all.put("slots", (long) table.size());
         return all;
     }
@@ -133,46 +133,46 @@
 
     private void clock(long nowUs) {
         if (lastUs != Long.MIN_VALUE && nowUs - lastUs > GAP_US) {
-            counts.count("stood_still");
-            feeds.stoodStill(nowUs - lastUs);
+            counters.increment("stood_still");
+            subscriptions.stoodStill(nowUs - lastUs);
         }
         lastUs = nowUs;
     }
 
-    private void tick(long nowUs, Send send, Consumer<ObserverAction> actions) {
+    private void tick(long nowUs, MessageSender sender, Consumer<ObserverAction> actions) {
         table.forget(nowUs, settings.removalUs());
-        feeds.tick(nowUs, table.tree().root(), controlAgeUs(nowUs), send);
-        facts.tick(nowUs, feeds.joined(), feeds, send);
-        calls.tick(nowUs, feeds.inTurn(), controlAgeUs(nowUs), send, actions);
+        subscriptions.tick(nowUs, table.tree().root(), controlAgeUs(nowUs), sender);
+        ownEntries.tick(nowUs, subscriptions.joined(), subscriptions, sender);
+        orderForwarder.tick(nowUs, subscriptions.inTurn(), controlAgeUs(nowUs), sender, actions);
     }
 
-    private void receive(long nowUs, String from, ObserveMessage message, Send send, Consumer<ObserverAction> actions) {
+    private void receive(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<ObserverAction> actions) {
         if (message instanceof ObserveMessage.Echo echo) {
-            echo(nowUs, from, echo, send, actions);
+            echo(nowUs, from, echo, sender, actions);
         } else if (message instanceof ObserveMessage.Push push) {
             push.slots().forEach(slot -> join(nowUs, slot));
-            send.to(from, new ObserveMessage.Taken(push.number()));
+            sender.send(from, new ObserveMessage.Taken(push.number()));
         } else if (message instanceof ObserveMessage.Stamps stamps) {
-            if (comparison.stamps(nowUs, from, stamps, controlAgeUs(nowUs), send)) {
-                feeds.beatSoon(nowUs, from);
+            if (slotSync.stamps(nowUs, from, stamps, controlAgeUs(nowUs), sender)) {
+                subscriptions.beatSoon(nowUs, from);
             }
         } else if (message instanceof ObserveMessage.Slots slots) {
-            slots(nowUs, from, slots, send);
+            slots(nowUs, from, slots, sender);
         } else if (message instanceof ObserveMessage.Answer answer) {
-            calls.answer(nowUs, from, answer, actions);
+            orderForwarder.answer(nowUs, from, answer, actions);
         } else if (message instanceof ObserveMessage.Welcome welcome) {
-            if (feeds.welcome(nowUs, from, welcome)) {
-                facts.all(nowUs, from, feeds, send);
+            if (subscriptions.welcome(nowUs, from, welcome)) {
+                ownEntries.all(nowUs, from, subscriptions, sender);
             }
         } else if (message instanceof ObserveMessage.Later later) {
-            feeds.later(nowUs, from, later, send);
+            subscriptions.later(nowUs, from, later, sender);
         } else {
-            counts.count("dropped.not_for_observers");
+            counters.increment("dropped.not_for_observers");
         }
     }
 
-    private void echo(long nowUs, String from, ObserveMessage.Echo echo, Send send, Consumer<ObserverAction> actions) {
-        Long askedUs = feeds.echo(nowUs, from, echo.seq());
+    private void echo(long nowUs, String from, ObserveMessage.Echo echo, MessageSender sender, Consumer<ObserverAction> actions) {
+        Long askedUs = subscriptions.echo(nowUs, from, echo.seq());
         if (askedUs == null || !echo.level()) {
             // A voter that is not level may be behind: it tells nothing of what the fleet holds.
             return;
@@ -188,14 +188,14 @@
         }
         if (sure && nowUs - equalUs - Math.max(0, echo.awayUs()) > settings.removalUs() / 2) {
             // So long away that what was removed meanwhile may be forgotten by now. What was told is acted on until the copy is whole.
-            counts.count("copy.emptied");
+            counters.increment("copy.emptied");
             untold.addAll(table.clear());
             sure = false;
         }
-        comparison.nodes(nowUs, from, echo.seq(), echo.nodes(), send);
+        slotSync.nodes(nowUs, from, echo.seq(), echo.nodes(), sender);
     }
 
-    private void slots(long nowUs, String from, ObserveMessage.Slots slots, Send send) {
+    private void slots(long nowUs, String from, ObserveMessage.Slots slots, MessageSender sender) {
         List<Slot> more = new ArrayList<>();
         boolean changed = false;
         for (Slot slot : slots.slots()) {
@@ -208,10 +208,10 @@
             }
         }
         if (sure) {
-            comparison.more(from, controlAgeUs(nowUs), more, send);
+            slotSync.more(from, controlAgeUs(nowUs), more, sender);
         }
-        if (comparison.slots(nowUs, from, slots.slots(), changed, send)) {
-            feeds.beatSoon(nowUs, from);
+        if (slotSync.slots(nowUs, from, slots.slots(), changed, sender)) {
+            subscriptions.beatSoon(nowUs, from);
         }
     }
 
@@ -230,7 +230,7 @@
         }
         if (now != level) {
             level = now;
-            counts.count(now ? "level.reached" : "level.lost");
+            counters.increment(now ? "level.reached" : "level.lost");
             actions.accept(new ObserverAction.CaughtUpChanged(now));
             if (!now && !lives.isEmpty()) {
                 lives = Map.of();
--- a/fleet/src/main/java/walkpost/fleet/observe/Sums.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverCensus.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /** What the voters tell each other of whom they feed: owns each one's last sum, and the voters' regions. */
-final class Sums {
+final class ObserverCensus {
     private static final long PERIOD_US = 1_000_000;
 
     private record Heard(Map<String, Integer> lives, long atUs) { }
@@ -16,7 +16,7 @@
     private final Map<String, String> regions = new TreeMap<>();
     private long nextUs;
 
-    Sums(ObserveSettings settings, String self, String region) {
+    ObserverCensus(ObserveSettings settings, String self, String region) {
         this.settings = settings;
         this.region = region;
         regions.put(self, region);
@@ -29,11 +29,11 @@
         }
     }
 
-    void tick(long nowUs, Set<String> others, Map<String, Integer> own, Send send) {
+    void tick(long nowUs, Set<String> others, Map<String, Integer> own, MessageSender sender) {
         if (nowUs >= nextUs) {
             nextUs = nowUs + PERIOD_US;
             var sum = new ObserveMessage.Sum(region, own);
-            others.forEach(to -> send.to(to, sum));
+            others.forEach(to -> sender.send(to, sum));
         }
     }
 
--- a/fleet/src/main/java/walkpost/fleet/observe/Calls.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OrderForwarder.java
@@ -17,7 +17,7 @@
  * <p>A refusal is passed on only once every voter that the order was sent to has refused every attempt, all in one life: as long as one
  * has not, it may still carry it out, or has done so before it died, and the caller is told that it is not certain.
  */
-final class Calls {
+final class OrderForwarder {
     private static final int TIMES_EACH = 2;
     /** A voter that has the order on its way already, or is not level, is asked again after this; and nobody so short before the end. */
     private static final long AGAIN_US = 200_000;
@@ -26,12 +26,12 @@
     private static final String UNCERTAIN = FleetException.Uncertain.class.getSimpleName();
 
     /** What one voter was sent of a call, and what it has answered. */
-    private static final class Tried {
+    private static final class VoterAttempts {
         private final long firstUs;
         private long sent;
         private long settled;
 
-        private Tried(long firstUs) {
+        private VoterAttempts(long firstUs) {
             this.firstUs = firstUs;
         }
 
@@ -45,10 +45,10 @@
         }
     }
 
-    private static final class Call {
+    private static final class ForwardedOrder {
         private final ObserverEvent.Propose order;
         private final long deadlineUs;
-        private final Map<String, Tried> tried = new TreeMap<>();
+        private final Map<String, VoterAttempts> tried = new TreeMap<>();
         private int sent;
         private long nextUs;
         private FleetException why;
@@ -57,7 +57,7 @@
         /** A voter has decided it, and could not say that a majority holds it. */
         private boolean uncertain;
 
-        private Call(ObserverEvent.Propose order, long nowUs, long deadlineUs) {
+        private ForwardedOrder(ObserverEvent.Propose order, long nowUs, long deadlineUs) {
             this.order = order;
             this.nextUs = nowUs;
             this.deadlineUs = deadlineUs;
@@ -81,48 +81,48 @@
 
     private final ObserveSettings settings;
     private final String self;
-    private final Counts counts;
-    private final Map<String, Call> calls = new LinkedHashMap<>();
+    private final ObserveCounters counters;
+    private final Map<String, ForwardedOrder> calls = new LinkedHashMap<>();
     private long attempts;
 
-    Calls(ObserveSettings settings, Life self, Counts counts) {
+    OrderForwarder(ObserveSettings settings, Life self, ObserveCounters counters) {
         this.settings = settings;
         this.self = self.name();
-        this.counts = counts;
+        this.counters = counters;
         attempts = Math.min(self.incarnation(), Long.MAX_VALUE / (2 * PER_MS)) * PER_MS;
     }
 
     /** Takes an order; one with an id that is on its way already gets the same answer. */
     void propose(long nowUs, ObserverEvent.Propose order) {
-        calls.putIfAbsent(order.id(), new Call(order, nowUs, nowUs + settings.callUs()));
+        calls.putIfAbsent(order.id(), new ForwardedOrder(order, nowUs, nowUs + settings.callUs()));
     }
 
     /** Sends what is due to the voters in turn, and gives up what is over. */
-    void tick(long nowUs, List<String> voters, long awayUs, Send send, Consumer<ObserverAction> actions) {
-        for (Call call : List.copyOf(calls.values())) {
+    void tick(long nowUs, List<String> voters, long awayUs, MessageSender sender, Consumer<ObserverAction> actions) {
+        for (ForwardedOrder call : List.copyOf(calls.values())) {
             if (nowUs >= call.deadlineUs) {
-                counts.count("calls.failed");
+                counters.increment("calls.failed");
                 refuse(call, why(call, awayUs), actions);
             } else if (nowUs >= call.nextUs && (nowUs < call.deadlineUs - AGAIN_US || call.sent == 0)) {
-                send(nowUs, call, call.next(voters), send);
+                send(nowUs, call, call.next(voters), sender);
             }
         }
     }
 
-    private void send(long nowUs, Call call, String to, Send send) {
+    private void send(long nowUs, ForwardedOrder call, String to, MessageSender sender) {
         if (to == null) {
             return;
         }
         ObserverEvent.Propose order = call.order;
-        call.tried.computeIfAbsent(to, name -> new Tried(nowUs)).sent = ++attempts;
+        call.tried.computeIfAbsent(to, name -> new VoterAttempts(nowUs)).sent = ++attempts;
         call.sent++;
         call.nextUs = nowUs + settings.repeatUs();
-        send.to(to, new ObserveMessage.Call(order.key(), order.id(), order.replaces(), order.payload(), attempts));
+        sender.send(to, new ObserveMessage.Call(order.key(), order.id(), order.replaces(), order.payload(), attempts));
     }
 
     void answer(long nowUs, String from, ObserveMessage.Answer answer, Consumer<ObserverAction> actions) {
-        Call call = calls.get(answer.id());
-        Tried tried = call == null ? null : call.tried.get(from);
+        ForwardedOrder call = calls.get(answer.id());
+        VoterAttempts tried = call == null ? null : call.tried.get(from);
         if (tried == null) {
             return;
         }
@@ -147,19 +147,19 @@
         }
         call.refused |= !answer.again();
         if (call.refused && call.firm()) {
-            counts.count("calls.refused");
+            counters.increment("calls.refused");
             refuse(call, call.why, actions);
         } else if (answer.again()) {
             call.nextUs = Math.max(call.nextUs, nowUs + AGAIN_US);
         }
     }
 
-    private void refuse(Call call, FleetException why, Consumer<ObserverAction> actions) {
+    private void refuse(ForwardedOrder call, FleetException why, Consumer<ObserverAction> actions) {
         calls.remove(call.order.id());
         actions.accept(new ObserverAction.Refused(call.order.id(), why));
     }
 
-    private FleetException why(Call call, long awayUs) {
+    private FleetException why(ForwardedOrder call, long awayUs) {
         if (call.sent == 0) {
             return new FleetException.NoVoter(call.order.id(), self, Observer.words(awayUs));
         }
--- a/fleet/src/main/java/walkpost/fleet/observe/Comparison.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotSyncClient.java
@@ -19,14 +19,14 @@
  * differ are gone through some at a time, and what is missing is fetched some at a time, so that a voter that many observers compare
  * themselves with has little to do for each at once. A comparison that gets lost is begun anew with the next beat.
  */
-final class Comparison {
+final class SlotSyncClient {
     /** Without a step for so long it is given up. */
     private static final long PATIENCE_US = 1_000_000;
     private static final int NODES_AT_ONCE = 4;
     private static final int KEYS_AT_ONCE = 128;
 
     private final SlotTable table;
-    private final Counts counts;
+    private final ObserveCounters counters;
     private final long seed;
     private String with;
     private long seq;
@@ -39,14 +39,14 @@
     private final List<Order.Key> wanted = new ArrayList<>();
     private final Set<Order.Key> asked = new HashSet<>();
 
-    Comparison(SlotTable table, Counts counts, long seed) {
+    SlotSyncClient(SlotTable table, ObserveCounters counters, long seed) {
         this.table = table;
-        this.counts = counts;
+        this.counters = counters;
         this.seed = seed;
     }
 
     /** Begins, where nothing is under way: the nodes of a voter's tree differ from those here. */
-    void nodes(long nowUs, String voter, long beat, long[] nodes, Send send) {
+    void nodes(long nowUs, String voter, long beat, long[] nodes, MessageSender sender) {
         if (nodes.length != HashTree.WIDTH || with != null && nowUs - movedUs < PATIENCE_US) {
             return;
         }
@@ -73,8 +73,8 @@
         for (int i = 0; i < count; i++) {
             System.arraycopy(table.tree().leaves(asking[i]), 0, under, i * HashTree.WIDTH, HashTree.WIDTH);
         }
-        counts.count("compared.differing");
-        send.to(voter, new ObserveMessage.Leaves(seq, asking, under));
+        counters.increment("compared.differing");
+        sender.send(voter, new ObserveMessage.Leaves(seq, asking, under));
     }
 
     /**
@@ -83,7 +83,7 @@
      * @param awayUs since when this copy is not known to be the fleet's. Where it never was, nobody would take what it has more of, and
      *     it has acted on nothing of it: the voter's slots are taken in place of its own
      */
-    boolean stamps(long nowUs, String from, ObserveMessage.Stamps stamps, long awayUs, Send send) {
+    boolean stamps(long nowUs, String from, ObserveMessage.Stamps stamps, long awayUs, MessageSender sender) {
         if (!from.equals(with) || stamps.seq() != seq || !MessageSizes.isValidPart(stamps.part(), stamps.parts())) {
             return false;
         }
@@ -107,36 +107,36 @@
             }
         });
         if (awayUs < Observer.NEVER_US) {
-            offer(awayUs, send);
+            offer(awayUs, sender);
         } else {
             wanted.forEach(table::drop);
             List<Order.Key> more = more().stream().map(Slot::key).toList();
             more.forEach(table::drop);
             gained |= !more.isEmpty();
         }
-        return next(nowUs, send);
+        return next(nowUs, sender);
     }
 
     /**
      * Slots that were asked for have come and are joined, which changed the copy here or not. Returns whether the comparison is over and
      * it was changed.
      */
-    boolean slots(long nowUs, String from, List<Slot> slots, boolean changed, Send send) {
+    boolean slots(long nowUs, String from, List<Slot> slots, boolean changed, MessageSender sender) {
         if (!from.equals(with)) {
             return false;
         }
         gained |= changed;
         slots.forEach(slot -> asked.remove(slot.key()));
         movedUs = nowUs;
-        return asked.isEmpty() && parts != null && next(nowUs, send);
+        return asked.isEmpty() && parts != null && next(nowUs, sender);
     }
 
     /** What goes beyond the voter's slot, once that is joined into the one here, is offered in turn. */
-    void more(String to, long awayUs, List<Slot> joined, Send send) {
-        MessageSizes.split(joined, MessageSizes::bytesOf).forEach(part -> send.to(to, new ObserveMessage.Offer(awayUs, part)));
+    void more(String to, long awayUs, List<Slot> joined, MessageSender sender) {
+        MessageSizes.split(joined, MessageSizes::bytesOf).forEach(part -> sender.send(to, new ObserveMessage.Offer(awayUs, part)));
     }
 
-    private boolean next(long nowUs, Send send) {
+    private boolean next(long nowUs, MessageSender sender) {
         if (wanted.isEmpty()) {
             boolean better = gained;
             end();
@@ -146,17 +146,17 @@
         wanted.subList(0, asking.size()).clear();
         asked.addAll(asking);
         movedUs = nowUs;
-        send.to(with, new ObserveMessage.Want(seq, asking));
+        sender.send(with, new ObserveMessage.Want(seq, asking));
         return false;
     }
 
     /** Offers what stands here and not at the voter: one message of it, as others may have the rest. */
-    private void offer(long awayUs, Send send) {
+    private void offer(long awayUs, MessageSender sender) {
         List<Slot> more = more();
         if (!more.isEmpty()) {
             List<List<Slot>> all = MessageSizes.split(more, MessageSizes::bytesOf);
-            send.to(with, new ObserveMessage.Offer(awayUs, all.get((int) Math.floorMod(seed + seq, (long) all.size()))));
-            counts.count("offers");
+            sender.send(with, new ObserveMessage.Offer(awayUs, all.get((int) Math.floorMod(seed + seq, (long) all.size()))));
+            counters.increment("offers");
         }
     }
 
--- a/fleet/src/main/java/walkpost/fleet/observe/Comparing.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotSyncServer.java
@@ -12,7 +12,7 @@
 import walkpost.fleet.copy.SlotMerge;
 
 /** What a voter answers to observers that compare themselves with it. Reads the table and keeps nothing of a comparison. */
-final class Comparing {
+final class SlotSyncServer {
     private static final long[] EQUAL = {};
     private static final int MOST_KEYS = 256;
     /** Messages of offers that are looked at in a second, from all observers: whatever is left out is offered again. */
@@ -20,13 +20,13 @@
 
     private final ObserveSettings settings;
     private final SlotTable table;
-    private final Counts counts;
-    private final Bucket offers = new Bucket(OFFERS_PER_SECOND);
+    private final ObserveCounters counters;
+    private final TokenBucket offers = new TokenBucket(OFFERS_PER_SECOND);
 
-    Comparing(ObserveSettings settings, SlotTable table, Counts counts) {
+    SlotSyncServer(ObserveSettings settings, SlotTable table, ObserveCounters counters) {
         this.settings = settings;
         this.table = table;
-        this.counts = counts;
+        this.counters = counters;
     }
 
     boolean equal(long root) {
@@ -38,17 +38,17 @@
         return equal(root) ? EQUAL : table.tree().nodes();
     }
 
-    void leaves(String from, ObserveMessage.Leaves asked, Send send) {
+    void leaves(String from, ObserveMessage.Leaves asked, MessageSender sender) {
         int nodes = asked.nodes().length;
         if (nodes > HashTree.WIDTH || asked.leaves().length != nodes * HashTree.WIDTH) {
-            counts.count("dropped.malformed");
+            counters.increment("dropped.malformed");
             return;
         }
         List<Integer> differing = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             int node = asked.nodes()[i];
             if (node < 0 || node >= HashTree.WIDTH) {
-                counts.count("dropped.malformed");
+                counters.increment("dropped.malformed");
                 return;
             }
             long[] mine = table.tree().leaves(node);
@@ -66,31 +66,31 @@
         }
         int[] numbers = differing.stream().mapToInt(Integer::intValue).toArray();
         for (int part = 0; part < parts.size(); part++) {
-            send.to(from, new ObserveMessage.Stamps(asked.seq(), part, parts.size(), numbers, parts.get(part)));
+            sender.send(from, new ObserveMessage.Stamps(asked.seq(), part, parts.size(), numbers, parts.get(part)));
         }
     }
 
-    void want(String from, ObserveMessage.Want asked, long awayUs, Send send) {
+    void want(String from, ObserveMessage.Want asked, long awayUs, MessageSender sender) {
         List<Slot> slots = new ArrayList<>();
         for (Order.Key key : asked.keys().subList(0, Math.min(MOST_KEYS, asked.keys().size()))) {
             slots.addAll(SlotMerge.split(table.slot(key), null));
         }
-        MessageSizes.split(slots, MessageSizes::bytesOf).forEach(part -> send.to(from, new ObserveMessage.Slots(asked.seq(), awayUs, part)));
+        MessageSizes.split(slots, MessageSizes::bytesOf).forEach(part -> sender.send(from, new ObserveMessage.Slots(asked.seq(), awayUs, part)));
     }
 
     /** Returns those offered slots that hold more than this voter's; where it is the voter's that hold more, the observer gets them. */
-    List<Slot> offered(long nowUs, String from, ObserveMessage.Offer offer, long awayUs, Send send) {
+    List<Slot> offered(long nowUs, String from, ObserveMessage.Offer offer, long awayUs, MessageSender sender) {
         boolean old = offer.awayUs() < 0 || offer.awayUs() > settings.removalUs() / 2;
         if (old || !offers.take(nowUs, 1)) {
             // What was removed while an old copy was away would come back with it.
-            counts.count(old ? "offers.refused_old" : "offers.refused_many");
+            counters.increment(old ? "offers.refused_old" : "offers.refused_many");
             return List.of();
         }
         Set<Slot> more = offer.slots().stream().filter(slot -> !SlotMerge.join(table.slot(slot.key()), slot).equals(table.slot(slot.key())))
                 .collect(Collectors.toSet());
         List<Slot> less = offer.slots().stream().map(slot -> SlotMerge.join(table.slot(slot.key()), slot))
                 .filter(joined -> offer.slots().stream().noneMatch(slot -> slot.equals(joined))).toList();
-        MessageSizes.split(less, MessageSizes::bytesOf).forEach(part -> send.to(from, new ObserveMessage.Slots(0, awayUs, part)));
+        MessageSizes.split(less, MessageSizes::bytesOf).forEach(part -> sender.send(from, new ObserveMessage.Slots(0, awayUs, part)));
         return List.copyOf(more);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Attached.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Subscribers.java
@@ -17,7 +17,7 @@
  * to this voter since it lost track of it. Their number and the joins of a second are bounded; whoever is too many is told so at once, and
  * when to come again, each a little later than the one before.
  */
-final class Attached {
+final class Subscribers {
     /** A push is repeated so often; then the observer's next beat has to find what it misses. */
     private static final int TRIES = 3;
     /** Pushes that one observer may have outstanding. */
@@ -26,78 +26,78 @@
     private static final int PUSHED_PER_SECOND = 400;
 
     /** Something pushed to one observer. */
-    private static final class Push {
+    private static final class PendingPush {
         private final List<Order.Key> keys;
         private int tries = 1;
         private long sentUs;
 
-        private Push(List<Order.Key> keys, long nowUs) {
+        private PendingPush(List<Order.Key> keys, long nowUs) {
             this.keys = keys;
             this.sentUs = nowUs;
         }
     }
 
-    private static final class Observing {
+    private static final class Subscriber {
         private final String region;
         private boolean primary;
         private long heardUs;
         /** Whether it holds all that stands here but for what is outstanding. */
         private boolean equal;
-        private final Map<Long, Push> outstanding = new TreeMap<>();
+        private final Map<Long, PendingPush> outstanding = new TreeMap<>();
 
-        private Observing(String region) {
+        private Subscriber(String region) {
             this.region = region;
         }
     }
 
     private final ObserveSettings settings;
-    private final Counts counts;
-    private final Bucket joins;
-    private final Bucket pushes = new Bucket(PUSHED_PER_SECOND);
-    private final Map<String, Observing> observers = new LinkedHashMap<>();
+    private final ObserveCounters counters;
+    private final TokenBucket joins;
+    private final TokenBucket pushes = new TokenBucket(PUSHED_PER_SECOND);
+    private final Map<String, Subscriber> observers = new LinkedHashMap<>();
     private long numbers;
     private long refused;
     private long refusedUs;
 
-    Attached(ObserveSettings settings, Counts counts) {
+    Subscribers(ObserveSettings settings, ObserveCounters counters) {
         this.settings = settings;
-        this.counts = counts;
-        this.joins = new Bucket(settings.joinsPerSecond());
+        this.counters = counters;
+        this.joins = new TokenBucket(settings.joinsPerSecond());
     }
 
     /** Takes an observer and returns null, or why not and when to come again. */
     ObserveMessage.Later join(long nowUs, String from, ObserveMessage.Join join) {
-        Observing known = observers.get(from);
+        Subscriber known = observers.get(from);
         if (known == null && observers.size() >= settings.mostObservers()) {
-            counts.count("joins.refused_full");
+            counters.increment("joins.refused_full");
             return new ObserveMessage.Later(join.seq(), ObserveMessage.Reason.FULL, settings.silenceUs() / 1_000);
         }
         if (known == null && !joins.take(nowUs, 1)) {
-            counts.count("joins.refused_many");
+            counters.increment("joins.refused_many");
             // Who is refused in a row is called back in a row.
             refused = nowUs - refusedUs > 1_000_000 ? 0 : refused + 1;
             refusedUs = nowUs;
             return new ObserveMessage.Later(join.seq(), ObserveMessage.Reason.TOO_MANY_AT_ONCE,
                     1_000 + 1_000 * refused / settings.joinsPerSecond());
         }
-        var observing = new Observing(join.region() == null ? "" : join.region());
-        observing.primary = join.primary();
-        observing.heardUs = nowUs;
-        observers.put(from, observing);
+        var subscriber = new Subscriber(join.region() == null ? "" : join.region());
+        subscriber.primary = join.primary();
+        subscriber.heardUs = nowUs;
+        observers.put(from, subscriber);
         return null;
     }
 
     /** Takes a beat; returns false where the observer is not attached. */
     boolean beat(long nowUs, String from, boolean primary, boolean equal) {
-        Observing observing = observers.get(from);
-        if (observing == null) {
+        Subscriber subscriber = observers.get(from);
+        if (subscriber == null) {
             return false;
         }
-        observing.heardUs = nowUs;
-        observing.primary = primary;
+        subscriber.heardUs = nowUs;
+        subscriber.primary = primary;
         if (equal) {
-            observing.equal = true;
-            observing.outstanding.clear();
+            subscriber.equal = true;
+            subscriber.outstanding.clear();
         }
         return true;
     }
@@ -116,56 +116,56 @@
 
     /** This process stood still: what was said to it meanwhile may be unread, and silence does not count. */
     void stoodStill(long gapUs) {
-        observers.values().forEach(observing -> observing.heardUs += gapUs);
+        observers.values().forEach(subscriber -> subscriber.heardUs += gapUs);
     }
 
     /** Sends what has changed to all, or, where that is more than is pushed, has them find it by comparing. */
-    void push(long nowUs, List<Slot> slots, long awayUs, Send send) {
+    void push(long nowUs, List<Slot> slots, long awayUs, MessageSender sender) {
         if (observers.isEmpty() || slots.isEmpty()) {
             return;
         }
         if (!pushes.take(nowUs, slots.size())) {
-            counts.count("pushes.left_out");
-            observers.values().forEach(observing -> observing.equal = false);
+            counters.increment("pushes.left_out");
+            observers.values().forEach(subscriber -> subscriber.equal = false);
             return;
         }
         for (List<Slot> part : MessageSizes.split(slots, MessageSizes::bytesOf)) {
             long number = ++numbers;
             List<Order.Key> keys = part.stream().map(Slot::key).toList();
             var message = new ObserveMessage.Push(number, awayUs, part);
-            observers.forEach((name, observing) -> {
-                if (observing.outstanding.size() >= OUTSTANDING) {
-                    observing.outstanding.clear();
-                    observing.equal = false;
+            observers.forEach((name, subscriber) -> {
+                if (subscriber.outstanding.size() >= OUTSTANDING) {
+                    subscriber.outstanding.clear();
+                    subscriber.equal = false;
                 }
-                observing.outstanding.put(number, new Push(keys, nowUs));
-                send.to(name, message);
+                subscriber.outstanding.put(number, new PendingPush(keys, nowUs));
+                sender.send(name, message);
             });
         }
     }
 
     void taken(String from, long number) {
-        Observing observing = observers.get(from);
-        if (observing != null) {
-            observing.outstanding.remove(number);
+        Subscriber subscriber = observers.get(from);
+        if (subscriber != null) {
+            subscriber.outstanding.remove(number);
         }
     }
 
     /** Forgets who was not heard for too long, and repeats what was not taken. */
-    void tick(long nowUs, SlotTable table, long awayUs, Send send) {
+    void tick(long nowUs, SlotTable table, long awayUs, MessageSender sender) {
         observers.entrySet().removeIf(each -> {
             boolean silent = nowUs - each.getValue().heardUs > settings.silenceUs();
             if (silent) {
-                counts.count("observers.silent");
+                counters.increment("observers.silent");
             }
             return silent;
         });
-        observers.forEach((name, observing) -> repeat(nowUs, name, observing, table, awayUs, send));
+        observers.forEach((name, subscriber) -> repeat(nowUs, name, subscriber, table, awayUs, sender));
     }
 
-    private void repeat(long nowUs, String name, Observing observing, SlotTable table, long awayUs, Send send) {
+    private void repeat(long nowUs, String name, Subscriber subscriber, SlotTable table, long awayUs, MessageSender sender) {
         List<Long> given = new ArrayList<>();
-        observing.outstanding.forEach((number, push) -> {
+        subscriber.outstanding.forEach((number, push) -> {
             if (nowUs - push.sentUs < settings.repeatUs()) {
                 return;
             }
@@ -175,20 +175,20 @@
             }
             push.tries++;
             push.sentUs = nowUs;
-            counts.count("pushes.repeated");
-            send.to(name, new ObserveMessage.Push(number, awayUs, push.keys.stream().map(table::slot).toList()));
+            counters.increment("pushes.repeated");
+            sender.send(name, new ObserveMessage.Push(number, awayUs, push.keys.stream().map(table::slot).toList()));
         });
         if (!given.isEmpty()) {
-            given.forEach(observing.outstanding::remove);
-            observing.equal = false;
+            given.forEach(subscriber.outstanding::remove);
+            subscriber.equal = false;
         }
     }
 
     /** Returns the names of those counted here. */
     Collection<String> counted() {
         Set<String> names = new LinkedHashSet<>();
-        observers.forEach((name, observing) -> {
-            if (observing.primary) {
+        observers.forEach((name, subscriber) -> {
+            if (subscriber.primary) {
                 names.add(name);
             }
         });
@@ -197,16 +197,16 @@
 
     /** Returns whether an observer holds what stands for a key here. */
     boolean holds(String name, Order.Key key) {
-        Observing observing = observers.get(name);
-        return observing != null && observing.equal
-                && observing.outstanding.values().stream().noneMatch(push -> push.keys.contains(key));
+        Subscriber subscriber = observers.get(name);
+        return subscriber != null && subscriber.equal
+                && subscriber.outstanding.values().stream().noneMatch(push -> push.keys.contains(key));
     }
 
     /** Returns how many are counted here, by region. */
     Map<String, Integer> byRegion() {
         Map<String, Integer> all = new TreeMap<>();
-        observers.values().stream().filter(observing -> observing.primary)
-                .forEach(observing -> all.merge(observing.region, 1, Integer::sum));
+        observers.values().stream().filter(subscriber -> subscriber.primary)
+                .forEach(subscriber -> all.merge(subscriber.region, 1, Integer::sum));
         return all;
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Bucket.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/TokenBucket.java
@@ -1,12 +1,12 @@
 package walkpost.fleet.observe;
 
 /** A token bucket: so many a second, and at most a second's worth at once. */
-final class Bucket {
+final class TokenBucket {
     private final double perSecond;
     private double tokens;
     private long filledUs = Long.MIN_VALUE;
 
-    Bucket(double perSecond) {
+    TokenBucket(double perSecond) {
         this.perSecond = perSecond;
         this.tokens = perSecond;
     }
--- a/fleet/src/test/java/walkpost/fleet/observe/World.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/World.java
@@ -14,7 +14,7 @@
 import walkpost.fleet.copy.SlotMerge;
 import walkpost.fleet.member.Life;
 
-/** Feeds and observers on a network without chance, in one thread: a message takes its way's time, or is lost where a test says so. */
+/** Feeds and observers on a simulated network without chance, in one thread: a message takes its way's time, or is lost where a test says so. */
 final class World {
     static final long MS = 1_000;
     static final long S = 1_000 * MS;
