--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveCounters.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveCounters.java
@@ -13,6 +13,6 @@
 
     /** Returns all counts so far; a copy. */
     Map<String, Long> snapshot() {
-        return new TreeMap<>(counters);
+        return new TreeMap<>(counts);
     }
 }
