--- a/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
@@ -182,7 +182,7 @@
         nextProbeUs = nowUs + random.nextLong(settings.backOffUs());
     }
 
-    private Subscription subscription(String voter) {
+    private Subscription find(String voter) {
         return subscriptions.stream().filter(subscription -> subscription.voter.equals(voter)).findFirst().orElse(null);
     }
 
