--- a/fleet/src/main/java/walkpost/fleet/observe/Feed.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Feed.java
@@ -13,19 +13,19 @@
 import walkpost.fleet.copy.Slot;
 
 /**
- * A voter's side of observers: takes them up to a bound, answers their beats from one table of what stands in all shards, pushes
- * what changes, takes their orders and reportedEntries. It votes on nothing: what observers offer or order goes to the shards, which know
- * voters only. See {@code docs/fleet.md}. Its parts own one state each; this class owns whether the voter is level.
+ * The state machine by which a voter feeds observers: admits a bounded number of them, answers their heartbeats from one table of the
+ * slots of all shards, pushes changed slots, and takes their forwarded orders and reported entries. It does not vote: offers and orders
+ * of observers go to the shards, which know voters only. See {@code docs/fleet.md}. Each part owns one piece of the state; this class
+ * owns whether the voter is caught up.
  *
- * <p>Readers are to be called by whoever may call {@link #handle}, under the same lock; what they return stays as it is.
+ * <p>Not thread-safe: the getters need the same lock as {@link #handle}. The collections they return do not change afterwards.
  */
 public final class Feed implements StateMachine<FeedEvent, FeedAction> {
-    /** A step of the clock that is no mere slowness. */
-    private static final long GAP_US = 1_000_000;
-    /** Operators' questions that are answered in a second. */
-    private static final int QUESTIONS_PER_SECOND = 20;
-    /** Names of observers that lack an order, in one answer. */
-    private static final int MOST_NAMED = 50;
+    /** A step of the clock above this means that the process was suspended, not merely slow. */
+    private static final long SUSPENDED_GAP_US = 1_000_000;
+    private static final int MAX_QUERIES_PER_SECOND = 20;
+    /** How many names of observers that lack an order a reply lists. */
+    private static final int MAX_LACKING_NAMES = 50;
 
     private final ObserveSettings settings;
     private final String self;
@@ -37,18 +37,18 @@
     private final ReportedEntries reportedEntries = new ReportedEntries(counters);
     private final ForwardedOrders forwardedOrders = new ForwardedOrders(counters);
     private final ObserverCensus observerCensus;
-    private final TokenBucket questions = new TokenBucket(QUESTIONS_PER_SECOND);
-    private Set<String> others = Set.of();
-    private boolean level;
-    private long levelUs = Long.MIN_VALUE;
+    private final TokenBucket queryBucket = new TokenBucket(MAX_QUERIES_PER_SECOND);
+    private Set<String> otherVoters = Set.of();
+    private boolean caughtUp;
+    private long caughtUpUntilUs = Long.MIN_VALUE;
     private long lastUs = Long.MIN_VALUE;
 
     /**
      * Makes a feed without observers.
      *
      * @param self this voter's name
-     * @param region where it runs; empty where the file names none
-     * @param voters all voters' names, this one's among them
+     * @param region this voter's region; empty if the fleet file names none
+     * @param voters the names of all voters, including this one
      */
     public Feed(ObserveSettings settings, String self, String region, Set<String> voters) {
         this.settings = settings;
@@ -61,32 +61,32 @@
 
     @Override
     public void handle(long nowUs, FeedEvent event, Consumer<FeedAction> actions) {
-        if (lastUs != Long.MIN_VALUE && nowUs - lastUs > GAP_US) {
+        if (lastUs != Long.MIN_VALUE && nowUs - lastUs > SUSPENDED_GAP_US) {
             counters.increment("stood_still");
-            subscribers.stoodStill(nowUs - lastUs);
+            subscribers.processWasSuspended(nowUs - lastUs);
         }
         lastUs = nowUs;
-        forwardedOrders.clock(nowUs);
+        forwardedOrders.recordTime(nowUs);
         MessageSender sender = (to, message) -> actions.accept(new FeedAction.Send(to, message));
         if (event instanceof FeedEvent.Tick) {
             table.forget(nowUs, settings.removalUs());
             subscribers.tick(nowUs, table, awayUs(nowUs), sender);
             reportedEntries.forget(nowUs, subscribers);
             forwardedOrders.tick(nowUs);
-            observerCensus.tick(nowUs, others, subscribers.byRegion(), sender);
+            observerCensus.tick(nowUs, otherVoters, subscribers.countedByRegion(), sender);
         } else if (event instanceof FeedEvent.Received received) {
             receive(nowUs, received.from(), received.message(), sender, actions);
-        } else if (event instanceof FeedEvent.Asked asked) {
-            if (questions.take(nowUs, 1)) {
-                answerEntries(nowUs, asked.from(), asked.question(), asked.own(), sender);
+        } else if (event instanceof FeedEvent.Asked queried) {
+            if (queryBucket.take(nowUs, 1)) {
+                answerEntries(nowUs, queried.from(), queried.question(), queried.own(), sender);
             }
         } else if (event instanceof FeedEvent.Changed changed) {
-            changed(nowUs, changed.slots(), sender);
-        } else if (event instanceof FeedEvent.CaughtUpChanged now) {
-            levelUs = level ? nowUs : levelUs;
-            level = now.level();
-        } else if (event instanceof FeedEvent.Voters living) {
-            others = new TreeSet<>(living.names().stream().filter(name -> voters.contains(name) && !name.equals(self)).toList());
+            slotsChanged(nowUs, changed.slots(), sender);
+        } else if (event instanceof FeedEvent.CaughtUpChanged change) {
+            caughtUpUntilUs = caughtUp ? nowUs : caughtUpUntilUs;
+            caughtUp = change.level();
+        } else if (event instanceof FeedEvent.Voters live) {
+            otherVoters = new TreeSet<>(live.names().stream().filter(name -> voters.contains(name) && !name.equals(self)).toList());
         } else if (event instanceof FeedEvent.Acknowledged acknowledged) {
             forwardedOrders.acknowledged(nowUs, acknowledged.id(), acknowledged.order(), sender);
         } else if (event instanceof FeedEvent.Refused refused) {
@@ -94,12 +94,12 @@
         }
     }
 
-    /** Returns how many observers live by region, as all voters together know. */
+    /** Returns the number of live observers by region, as all voters together count them. */
     public Map<String, Integer> lives(long nowUs) {
-        return observerCensus.lives(nowUs, subscribers.byRegion());
+        return observerCensus.observersByRegion(nowUs, subscribers.countedByRegion());
     }
 
-    /** Returns counts by name, {@code observers} among them. */
+    /** Returns the counters and gauges by name, such as {@code observers}. */
     public Map<String, Long> figures() {
         Map<String, Long> all = counters.snapshot();
         all.put("observers", (long) subscribers.size());
@@ -108,97 +108,99 @@
         return all;
     }
 
+    /** Returns the time since this voter was last caught up. */
     private long awayUs(long nowUs) {
-        return level ? 0 : levelUs == Long.MIN_VALUE ? Observer.NEVER_US : nowUs - levelUs;
+        return caughtUp ? 0 : caughtUpUntilUs == Long.MIN_VALUE ? Observer.NEVER_US : nowUs - caughtUpUntilUs;
     }
 
-    private void changed(long nowUs, List<Slot> slots, MessageSender sender) {
+    private void slotsChanged(long nowUs, List<Slot> slots, MessageSender sender) {
         slots.forEach(slot -> table.put(nowUs, slot));
-        // What is forgotten is nobody's news: each forgets removals by itself.
+        // A forgotten slot is not pushed, because each member forgets removals by itself.
         subscribers.push(nowUs, slots.stream().filter(slot -> !slot.hasNoHistory()).toList(), awayUs(nowUs), sender);
     }
 
     private void receive(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<FeedAction> actions) {
-        if (message instanceof ObserveMessage.AskEntries asked) {
-            if (questions.take(nowUs, 1)) {
-                answerEntries(nowUs, from, asked, List.of(), sender);
+        if (message instanceof ObserveMessage.AskEntries query) {
+            if (queryBucket.take(nowUs, 1)) {
+                answerEntries(nowUs, from, query, List.of(), sender);
             }
-        } else if (message instanceof ObserveMessage.AskHeld asked) {
-            if (questions.take(nowUs, 1)) {
-                held(from, asked, sender);
+        } else if (message instanceof ObserveMessage.AskHeld query) {
+            if (queryBucket.take(nowUs, 1)) {
+                answerCoverage(from, query, sender);
             }
-        } else if (message instanceof ObserveMessage.Sum sum) {
+        } else if (message instanceof ObserveMessage.Sum counts) {
             if (voters.contains(from)) {
-                observerCensus.take(nowUs, from, sum);
+                observerCensus.receive(nowUs, from, counts);
             } else {
                 counters.increment("dropped.no_voter");
             }
         } else if (voters.contains(from)) {
-            // A voter that takes itself for an observer has another file than this one.
+            // A voter that acts as an observer has a different fleet file.
             counters.increment("dropped.voter_as_observer");
         } else {
-            observer(nowUs, from, message, sender, actions);
+            receiveFromObserver(nowUs, from, message, sender, actions);
         }
     }
 
-    private void observer(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<FeedAction> actions) {
-        if (message instanceof ObserveMessage.Beat beat) {
-            boolean known = subscribers.beat(nowUs, from, beat.primary(), level && slotSync.equal(beat.root()));
+    private void receiveFromObserver(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<FeedAction> actions) {
+        if (message instanceof ObserveMessage.Beat heartbeat) {
+            boolean known = subscribers.heartbeat(nowUs, from, heartbeat.primary(), caughtUp && slotSync.isEqual(heartbeat.root()));
             sender.send(from, known
-                    ? new ObserveMessage.Echo(beat.seq(), level, awayUs(nowUs), slotSync.nodes(beat.root()), lives(nowUs))
-                    : new ObserveMessage.Later(beat.seq(), ObserveMessage.Reason.UNKNOWN, 0));
-        } else if (message instanceof ObserveMessage.Join join) {
-            ObserveMessage.Later refusal = subscribers.join(nowUs, from, join);
-            sender.send(from, refusal != null ? refusal : new ObserveMessage.Welcome(join.seq(), observerCensus.regions()));
+                    ? new ObserveMessage.Echo(heartbeat.seq(), caughtUp, awayUs(nowUs), slotSync.differingNodes(heartbeat.root()),
+                            lives(nowUs))
+                    : new ObserveMessage.Later(heartbeat.seq(), ObserveMessage.Reason.UNKNOWN, 0));
+        } else if (message instanceof ObserveMessage.Join request) {
+            ObserveMessage.Later refusal = subscribers.subscribe(nowUs, from, request);
+            sender.send(from, refusal != null ? refusal : new ObserveMessage.Welcome(request.seq(), observerCensus.regions()));
         } else if (message instanceof ObserveMessage.Leave) {
-            subscribers.leave(from);
-        } else if (message instanceof ObserveMessage.Taken taken) {
-            subscribers.taken(from, taken.number());
+            subscribers.unsubscribe(from);
+        } else if (message instanceof ObserveMessage.Taken ack) {
+            subscribers.pushAcknowledged(from, ack.number());
         } else if (message instanceof ObserveMessage.Report report) {
-            reportedEntries.take(nowUs, from, report.facts());
-        } else if (message instanceof ObserveMessage.Leaves leaves) {
-            slotSync.leaves(from, leaves, sender);
-        } else if (message instanceof ObserveMessage.Want want) {
-            slotSync.want(from, want, awayUs(nowUs), sender);
+            reportedEntries.store(nowUs, from, report.facts());
+        } else if (message instanceof ObserveMessage.Leaves hashes) {
+            slotSync.compareLeaves(from, hashes, sender);
+        } else if (message instanceof ObserveMessage.Want request) {
+            slotSync.sendSlots(from, request, awayUs(nowUs), sender);
         } else if (message instanceof ObserveMessage.Offer offer) {
-            List<Slot> more = slotSync.offered(nowUs, from, offer, awayUs(nowUs), sender);
-            if (!more.isEmpty()) {
+            List<Slot> accepted = slotSync.receiveOffer(nowUs, from, offer, awayUs(nowUs), sender);
+            if (!accepted.isEmpty()) {
                 counters.increment("offers.taken");
-                actions.accept(new FeedAction.Offer(more));
+                actions.accept(new FeedAction.Offer(accepted));
             }
-        } else if (message instanceof ObserveMessage.Call call) {
-            if (forwardedOrders.take(nowUs, from, call, sender)) {
-                actions.accept(new FeedAction.Propose(call.key(), call.id(), call.replaces(), call.payload()));
+        } else if (message instanceof ObserveMessage.Call order) {
+            if (forwardedOrders.receive(nowUs, from, order, sender)) {
+                actions.accept(new FeedAction.Propose(order.key(), order.id(), order.replaces(), order.payload()));
             }
         } else {
             counters.increment("dropped.not_for_voters");
         }
     }
 
-    private void answerEntries(long nowUs, String from, ObserveMessage.AskEntries asked, List<Entry> own, MessageSender sender) {
+    private void answerEntries(long nowUs, String from, ObserveMessage.AskEntries query, List<Entry> own, MessageSender sender) {
         List<Entry> all = new ArrayList<>(own);
-        if (asked.topic() != null) {
-            all.addAll(reportedEntries.on(asked.topic(), nowUs));
+        if (query.topic() != null) {
+            all.addAll(reportedEntries.onTopic(query.topic(), nowUs));
         }
         List<List<Entry>> parts = MessageSizes.split(all, MessageSizes::bytesOf);
         if (parts.isEmpty()) {
             parts.add(List.of());
         }
         for (int part = 0; part < parts.size(); part++) {
-            sender.send(from, new ObserveMessage.Entries(asked.seq(), part, parts.size(), parts.get(part)));
+            sender.send(from, new ObserveMessage.Entries(query.seq(), part, parts.size(), parts.get(part)));
         }
     }
 
-    private void held(String from, ObserveMessage.AskHeld asked, MessageSender sender) {
-        Slot slot = table.slot(asked.key());
-        boolean here = slot.heads().stream().map(Order::id).anyMatch(asked.id()::equals) || slot.replaced().containsKey(asked.id());
+    private void answerCoverage(String from, ObserveMessage.AskHeld query, MessageSender sender) {
+        Slot slot = table.slot(query.key());
+        boolean heldHere = slot.heads().stream().map(Order::id).anyMatch(query.id()::equals) || slot.replaced().containsKey(query.id());
         List<String> lacking = new ArrayList<>();
-        if (!here) {
+        if (!heldHere) {
             lacking.add(self);
         }
-        subscribers.counted().stream().filter(name -> !here || !subscribers.holds(name, asked.key())).forEach(lacking::add);
-        int of = subscribers.counted().size() + 1;
-        sender.send(from, new ObserveMessage.Held(asked.seq(), of - lacking.size(), of,
-                lacking.subList(0, Math.min(MOST_NAMED, lacking.size()))));
+        subscribers.counted().stream().filter(name -> !heldHere || !subscribers.holds(name, query.key())).forEach(lacking::add);
+        int memberCount = subscribers.counted().size() + 1;
+        sender.send(from, new ObserveMessage.Held(query.seq(), memberCount - lacking.size(), memberCount,
+                lacking.subList(0, Math.min(MAX_LACKING_NAMES, lacking.size()))));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedAction.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedAction.java
@@ -5,15 +5,21 @@
 import walkpost.fleet.copy.ShardEvent;
 import walkpost.fleet.copy.Slot;
 
-/** Something the owner of a {@link Feed} is to do, in the order given. */
+/** An action that the owner of a {@link Feed} carries out, in the order given. */
 public sealed interface FeedAction {
-    /** Send a message to a member; it may get lost. */
+    /** Send a message to a member. The message may be lost. */
     record Send(String to, ObserveMessage message) implements FeedAction { }
 
-    /** Give the shard that this key lies in an order ({@link walkpost.fleet.copy.ShardEvent.Propose}), and the feed what comes of it. */
+    /**
+     * Give an order to the shard of its key ({@link walkpost.fleet.copy.ShardEvent.Propose}), and hand the result to the feed as a
+     * {@link FeedEvent.Acknowledged} or {@link FeedEvent.Refused}.
+     */
     record Propose(Order.Key key, String id, String replaces, String payload) implements FeedAction { }
 
-    /** Give these slots to the shards that they lie in ({@link walkpost.fleet.copy.ShardEvent.SlotsOffered}): an observer had more of them. */
+    /**
+     * Give slots in which an observer holds more than this voter to the shards of their keys
+     * ({@link walkpost.fleet.copy.ShardEvent.SlotsOffered}).
+     */
     record Offer(List<Slot> slots) implements FeedAction {
         public Offer {
             slots = List.copyOf(slots);
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
@@ -7,41 +7,49 @@
 import walkpost.fleet.copy.Order;
 import walkpost.fleet.copy.Slot;
 
-/** Something that happened to a {@link Feed}. */
+/** An event that the owner of a {@link Feed} hands to it. */
 public sealed interface FeedEvent {
-    /** Time has passed; comes some 20 times a second. */
+    /** Time has passed. Arrives about 20 times a second. */
     record Tick() implements FeedEvent { }
 
-    /** Which other voters live. */
+    /** The set of live voters has changed; this voter is not among them. */
     record Voters(Set<String> names) implements FeedEvent {
         public Voters {
             names = Set.copyOf(names);
         }
     }
 
-    /** A message has come from a member. */
+    /** A message has arrived from a member. */
     record Received(String from, ObserveMessage message) implements FeedEvent { }
 
-    /** A member asks for facts; {@code own} are those on that topic that this voter has written itself, their ages counted to now. */
+    /**
+     * A member queries the entries on a topic.
+     *
+     * @param own the entries on that topic that this voter has written itself, with their ages at the time of the event
+     */
     record Asked(String from, ObserveMessage.AskEntries question, List<Entry> own) implements FeedEvent {
         public Asked {
             own = List.copyOf(own);
         }
     }
 
-    /** Slots of this voter's shards have changed, and are on disk where there is one; an empty one has been forgotten. */
+    /**
+     * Slots of this voter's shards have changed, and are stored on disk if the voter has a directory.
+     *
+     * @param slots the new content; a slot without history was forgotten
+     */
     record Changed(List<Slot> slots) implements FeedEvent {
         public Changed {
             slots = List.copyOf(slots);
         }
     }
 
-    /** Whether all shards of this voter are level now. */
+    /** Whether all shards of this voter are caught up has changed. */
     record CaughtUpChanged(boolean level) implements FeedEvent { }
 
-    /** An observer's order, handed to the shards by {@link FeedAction.Propose}, is acknowledged. */
+    /** A shard has acknowledged an observer's order that {@link FeedAction.Propose} handed to it. */
     record Acknowledged(String id, Order order) implements FeedEvent { }
 
-    /** An observer's order, handed to the shards by {@link FeedAction.Propose}, has failed. */
+    /** A shard has refused an observer's order that {@link FeedAction.Propose} handed to it. */
     record Refused(String id, FleetException why) implements FeedEvent { }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
@@ -9,36 +9,36 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * An observer's two voters: owns which they are, when each was heard, and how others are found. Where one is missing, all voters that
- * live are probed with a beat, which costs each of them one short answer; among those that answer {@link VoterChoice} chooses. Whoever
- * refuses, or does not answer, is left alone for a while that grows up to a bound and is drawn, so that many observers that lost one
- * voter do not come to the others together.
+ * An observer's subscriptions to its feeds, which are two voters: owns which voters these are, when each was last heard from, and the
+ * search for others. If a feed is missing, the observer probes all live voters with a heartbeat, which costs each of them one short
+ * answer, and {@link VoterChoice} chooses among those that answer. A voter that refuses or does not answer is not tried again for a
+ * while, and the wait between probes grows up to a bound. The waits have jitter, so that many observers that lost the same voter do not
+ * subscribe to the others at the same moment.
  */
 final class FeedSubscriptions {
-    static final int WANTED = 2;
-    /** For how long answers to probes are waited for; the slowest of two regions is far below. */
-    private static final long PROBE_US = 400_000;
+    static final int FEED_COUNT = 2;
+    /** How long answers to probes are awaited; the slowest round trip between two regions is far shorter. */
+    private static final long PROBE_TIMEOUT_US = 400_000;
+    private static final int MAX_UNANSWERED_REQUESTS = 8;
 
-    private static final int MOST_SENT = 8;
-
-    /** One voter that feeds this observer, or is asked to. */
+    /** A subscription to one voter, accepted or still requested. */
     private static final class Subscription {
         private final String voter;
-        private boolean joined;
-        /** Of the join or the beats that are not answered yet, when each was sent. */
-        private final TreeMap<Long, Long> sent = new TreeMap<>();
+        private boolean active;
+        /** The times at which the unanswered subscription requests or heartbeats were sent, by sequence number. */
+        private final TreeMap<Long, Long> unansweredSentUs = new TreeMap<>();
         private long sentUs;
-        private long heardUs;
-        private long nextBeatUs;
-        private int unanswered;
+        private long lastHeardUs;
+        private long nextHeartbeatUs;
+        private int unansweredHeartbeats;
 
         private Subscription(String voter, long nowUs) {
             this.voter = voter;
-            this.heardUs = nowUs;
+            this.lastHeardUs = nowUs;
         }
     }
 
-    /** A beat to a voter that does not feed this observer. */
+    /** A heartbeat to a voter that is not a feed, which measures the round trip. */
     private record Probe(long seq, long sentUs) { }
 
     private final ObserveSettings settings;
@@ -47,13 +47,13 @@
     private final ObserveCounters counters;
     private final UniformRandomProvider random;
     private final List<Subscription> subscriptions = new ArrayList<>();
-    private final Map<String, Long> waitUntilUs = new HashMap<>();
+    private final Map<String, Long> avoidUntilUs = new HashMap<>();
     private final Map<String, Probe> probes = new TreeMap<>();
     private final Map<String, Long> roundTripUs = new TreeMap<>();
     private final Map<String, String> regions = new TreeMap<>();
-    private Set<String> living = Set.of();
-    private long seqs;
-    private long decideUs = Long.MAX_VALUE;
+    private Set<String> liveVoters = Set.of();
+    private long lastSeq;
+    private long chooseAtUs = Long.MAX_VALUE;
     private long nextProbeUs;
     private long backOffUs;
     private boolean started;
@@ -64,185 +64,191 @@
         this.region = region;
         this.counters = counters;
         this.random = random;
-        this.backOffUs = settings.backOffUs();
+        this.backOffUs = settings.minBackOffUs();
     }
 
-    /** Which voters may be probed. */
-    void living(Set<String> voters) {
-        living = voters;
+    /** Sets the live voters, which are the ones that may be probed. */
+    void setLiveVoters(Set<String> voters) {
+        liveVoters = voters;
     }
 
-    /** Returns those that have taken this observer, the one that counts it first. */
-    List<String> joined() {
-        return subscriptions.stream().filter(subscription -> subscription.joined).map(subscription -> subscription.voter).toList();
+    /** Returns the voters that feed this observer, the primary first. */
+    List<String> activeFeeds() {
+        return subscriptions.stream().filter(subscription -> subscription.active).map(subscription -> subscription.voter).toList();
     }
 
-    /** Returns all voters to try with a call, the best first. */
-    List<String> inTurn() {
-        List<String> all = new ArrayList<>(joined());
-        roundTripUs.keySet().stream().filter(name -> living.contains(name) && !all.contains(name)).forEach(all::add);
-        living.stream().sorted().filter(name -> !all.contains(name)).forEach(all::add);
+    /** Returns all live voters to which an order may be forwarded, and the feeds, in the order in which to try them. */
+    List<String> votersByPreference() {
+        List<String> all = new ArrayList<>(activeFeeds());
+        roundTripUs.keySet().stream().filter(name -> liveVoters.contains(name) && !all.contains(name)).forEach(all::add);
+        liveVoters.stream().sorted().filter(name -> !all.contains(name)).forEach(all::add);
         return all;
     }
 
+    /** Returns the round-trip time to a voter, or the retransmission period if it has not been measured. */
     long roundTripUs(String voter) {
-        return roundTripUs.getOrDefault(voter, settings.repeatUs());
+        return roundTripUs.getOrDefault(voter, settings.retransmitUs());
     }
 
-    /** This process stood still: what was sent to it meanwhile may be unread, and silence does not count. */
-    void stoodStill(long gapUs) {
-        subscriptions.forEach(subscription -> subscription.heardUs += gapUs);
+    /** Disregards the time in which this process was suspended, because messages of that time may still be unread. */
+    void processWasSuspended(long gapUs) {
+        subscriptions.forEach(subscription -> subscription.lastHeardUs += gapUs);
     }
 
-    void tick(long nowUs, long root, long awayUs, MessageSender sender) {
+    /** Sends the heartbeats, requests and probes that are due, and gives up silent voters. */
+    void tick(long nowUs, long rootHash, long awayUs, MessageSender sender) {
         if (!started) {
             started = true;
-            // A draw at the start as well: a whole fleet may be starting.
-            nextProbeUs = nowUs + random.nextLong(settings.backOffUs());
+            // Jitter at the start as well, because a whole fleet may be starting.
+            nextProbeUs = nowUs + random.nextLong(settings.minBackOffUs());
         }
         for (Subscription subscription : List.copyOf(subscriptions)) {
-            long patienceUs = subscription.joined ? settings.silenceUs() : 3 * settings.repeatUs();
-            if (nowUs - subscription.heardUs > patienceUs) {
-                counters.increment(subscription.joined ? "feeds.silent" : "joins.unanswered");
-                wait(nowUs, subscription.voter, settings.silenceUs());
-                lost(nowUs, subscription);
-            } else if (!subscription.joined && nowUs - subscription.sentUs >= settings.repeatUs()) {
-                join(nowUs, subscription, sender);
-            } else if (subscription.joined && (nowUs >= subscription.nextBeatUs || overdue(nowUs, subscription))) {
-                beat(nowUs, subscription, root, awayUs, sender);
+            long timeoutUs = subscription.active ? settings.silenceUs() : 3 * settings.retransmitUs();
+            if (nowUs - subscription.lastHeardUs > timeoutUs) {
+                counters.increment(subscription.active ? "feeds.silent" : "joins.unanswered");
+                avoid(nowUs, subscription.voter, settings.silenceUs());
+                remove(nowUs, subscription);
+            } else if (!subscription.active && nowUs - subscription.sentUs >= settings.retransmitUs()) {
+                requestSubscription(nowUs, subscription, sender);
+            } else if (subscription.active && (nowUs >= subscription.nextHeartbeatUs || isReplyOverdue(nowUs, subscription))) {
+                sendHeartbeat(nowUs, subscription, rootHash, awayUs, sender);
             }
         }
-        if (nowUs >= decideUs) {
-            decideUs = Long.MAX_VALUE;
-            decide(nowUs, sender);
-        } else if (decideUs == Long.MAX_VALUE && nowUs >= nextProbeUs) {
-            probe(nowUs, root, awayUs, sender);
+        if (nowUs >= chooseAtUs) {
+            chooseAtUs = Long.MAX_VALUE;
+            choose(nowUs, sender);
+        } else if (chooseAtUs == Long.MAX_VALUE && nowUs >= nextProbeUs) {
+            sendProbes(nowUs, rootHash, awayUs, sender);
         }
     }
 
-    /** Has this voter asked at once: its copy may be better now, or this one has just changed. */
-    void beatSoon(long nowUs, String voter) {
-        subscriptions.stream().filter(subscription -> subscription.voter.equals(voter)).forEach(subscription -> subscription.nextBeatUs = nowUs);
+    /** Makes the heartbeat to this voter due at once, because a comparison with it has just changed this observer's replica. */
+    void sendHeartbeatSoon(long nowUs, String voter) {
+        subscriptions.stream().filter(subscription -> subscription.voter.equals(voter))
+                .forEach(subscription -> subscription.nextHeartbeatUs = nowUs);
     }
 
-    /** Whether a beat may have got lost. The waits double: a voter that is merely slow is not to have more to do for that. */
-    private boolean overdue(long nowUs, Subscription subscription) {
-        return subscription.unanswered > 0 && nowUs - subscription.sentUs >= settings.repeatUs() << Math.min(subscription.unanswered - 1, 4);
+    /** Returns whether a heartbeat may be lost. The waits double, so that a voter that is merely slow gets little extra load. */
+    private boolean isReplyOverdue(long nowUs, Subscription subscription) {
+        return subscription.unansweredHeartbeats > 0
+                && nowUs - subscription.sentUs >= settings.retransmitUs() << Math.min(subscription.unansweredHeartbeats - 1, 4);
     }
 
-    /** Returns when the beat was sent that this answers, or null where it answers none of a feed's. */
-    Long echo(long nowUs, String from, long seq) {
-        probed(nowUs, from, seq);
+    /** Takes the reply to a heartbeat. Returns when the heartbeat was sent, or null if it was not one to a feed. */
+    Long heartbeatReply(long nowUs, String from, long seq) {
+        recordProbeReply(nowUs, from, seq);
         Subscription subscription = find(from);
-        Long sentUs = subscription == null || !subscription.joined ? null : subscription.sent.get(seq);
+        Long sentUs = subscription == null || !subscription.active ? null : subscription.unansweredSentUs.get(seq);
         if (sentUs != null) {
             roundTripUs.put(from, Math.max(1, nowUs - sentUs));
-            subscription.heardUs = nowUs;
-            subscription.unanswered = 0;
-            subscription.sent.headMap(seq, true).clear();
+            subscription.lastHeardUs = nowUs;
+            subscription.unansweredHeartbeats = 0;
+            subscription.unansweredSentUs.headMap(seq, true).clear();
         }
         return sentUs;
     }
 
-    /** Returns whether a feed has been won. */
-    boolean welcome(long nowUs, String from, ObserveMessage.Welcome welcome) {
+    /** Takes the acceptance of a subscription. Returns whether the voter has become a feed by it. */
+    boolean subscribed(long nowUs, String from, ObserveMessage.Welcome accepted) {
         Subscription subscription = find(from);
-        if (subscription == null || subscription.joined || !subscription.sent.containsKey(welcome.seq())) {
+        if (subscription == null || subscription.active || !subscription.unansweredSentUs.containsKey(accepted.seq())) {
             return false;
         }
-        regions.putAll(welcome.regions());
-        subscription.joined = true;
-        subscription.heardUs = nowUs;
-        subscription.unanswered = 0;
-        subscription.sent.clear();
-        subscription.nextBeatUs = nowUs;
-        backOffUs = settings.backOffUs();
+        regions.putAll(accepted.regions());
+        subscription.active = true;
+        subscription.lastHeardUs = nowUs;
+        subscription.unansweredHeartbeats = 0;
+        subscription.unansweredSentUs.clear();
+        subscription.nextHeartbeatUs = nowUs;
+        backOffUs = settings.minBackOffUs();
         counters.increment("joins");
         return true;
     }
 
-    void later(long nowUs, String from, ObserveMessage.Later later, MessageSender sender) {
-        probed(nowUs, from, later.seq());
+    /** Takes a refusal: subscribes again if the voter no longer knows this observer, or else leaves the voter alone for a while. */
+    void refused(long nowUs, String from, ObserveMessage.Later refusal, MessageSender sender) {
+        recordProbeReply(nowUs, from, refusal.seq());
         Subscription subscription = find(from);
-        if (subscription == null || subscription.sent.remove(later.seq()) == null) {
+        if (subscription == null || subscription.unansweredSentUs.remove(refusal.seq()) == null) {
             return;
         }
-        if (later.why() == ObserveMessage.Reason.UNKNOWN && subscription.joined) {
-            // It has begun anew, or has held this observer for gone.
-            subscription.joined = false;
-            subscription.heardUs = nowUs;
-            subscription.sent.clear();
-            join(nowUs, subscription, sender);
+        if (refusal.why() == ObserveMessage.Reason.UNKNOWN && subscription.active) {
+            // The voter has restarted, or has forgotten this observer after a silence.
+            subscription.active = false;
+            subscription.lastHeardUs = nowUs;
+            subscription.unansweredSentUs.clear();
+            requestSubscription(nowUs, subscription, sender);
             return;
         }
         counters.increment("joins.refused");
-        long atLeastUs = Math.max(0, Math.min(later.retryMs(), 60_000)) * 1_000;
-        wait(nowUs, from, atLeastUs + random.nextLong(settings.backOffUs()));
-        lost(nowUs, subscription);
-        nextProbeUs = nowUs + random.nextLong(settings.backOffUs());
+        long minWaitUs = Math.max(0, Math.min(refusal.retryMs(), 60_000)) * 1_000;
+        avoid(nowUs, from, minWaitUs + random.nextLong(settings.minBackOffUs()));
+        remove(nowUs, subscription);
+        nextProbeUs = nowUs + random.nextLong(settings.minBackOffUs());
     }
 
     private Subscription find(String voter) {
         return subscriptions.stream().filter(subscription -> subscription.voter.equals(voter)).findFirst().orElse(null);
     }
 
-    private void probed(long nowUs, String from, long seq) {
+    private void recordProbeReply(long nowUs, String from, long seq) {
         Probe probe = probes.get(from);
-        if (probe != null && probe.seq == seq && decideUs != Long.MAX_VALUE) {
+        if (probe != null && probe.seq == seq && chooseAtUs != Long.MAX_VALUE) {
             roundTripUs.put(from, Math.max(1, nowUs - probe.sentUs));
         }
     }
 
-    private void lost(long nowUs, Subscription subscription) {
+    private void remove(long nowUs, Subscription subscription) {
         subscriptions.remove(subscription);
         nextProbeUs = Math.min(nextProbeUs, nowUs);
     }
 
-    private void wait(long nowUs, String voter, long forUs) {
-        waitUntilUs.put(voter, nowUs + forUs);
+    private void avoid(long nowUs, String voter, long forUs) {
+        avoidUntilUs.put(voter, nowUs + forUs);
     }
 
-    private void probe(long nowUs, long root, long awayUs, MessageSender sender) {
+    private void sendProbes(long nowUs, long rootHash, long awayUs, MessageSender sender) {
         probes.clear();
         roundTripUs.keySet().removeIf(name -> find(name) == null);
-        for (String voter : living) {
-            if (find(voter) == null && waitUntilUs.getOrDefault(voter, Long.MIN_VALUE) <= nowUs) {
-                probes.put(voter, new Probe(++seqs, nowUs));
-                sender.send(voter, new ObserveMessage.Beat(seqs, false, root, awayUs));
+        for (String voter : liveVoters) {
+            if (find(voter) == null && avoidUntilUs.getOrDefault(voter, Long.MIN_VALUE) <= nowUs) {
+                probes.put(voter, new Probe(++lastSeq, nowUs));
+                sender.send(voter, new ObserveMessage.Beat(lastSeq, false, rootHash, awayUs));
             }
         }
-        decideUs = nowUs + PROBE_US;
+        chooseAtUs = nowUs + PROBE_TIMEOUT_US;
     }
 
-    private void decide(long nowUs, MessageSender sender) {
-        Map<String, Long> had = new TreeMap<>(roundTripUs);
-        had.keySet().removeIf(name -> find(name) == null && waitUntilUs.getOrDefault(name, Long.MIN_VALUE) > nowUs);
-        List<String> best = VoterChoice.of(self, had, regions);
-        boolean full = subscriptions.size() >= WANTED;
+    private void choose(long nowUs, MessageSender sender) {
+        Map<String, Long> available = new TreeMap<>(roundTripUs);
+        available.keySet().removeIf(name -> find(name) == null && avoidUntilUs.getOrDefault(name, Long.MIN_VALUE) > nowUs);
+        List<String> best = VoterChoice.choose(self, available, regions);
+        boolean full = subscriptions.size() >= FEED_COUNT;
         List<String> missing = best.stream().filter(name -> find(name) == null).toList();
         if (!missing.isEmpty()) {
             if (full) {
-                leaveOne(best, sender);
+                endWorstSubscription(best, sender);
             }
-            if (subscriptions.size() < WANTED) {
+            if (subscriptions.size() < FEED_COUNT) {
                 Subscription subscription = new Subscription(missing.get(0), nowUs);
                 subscriptions.add(subscription);
-                join(nowUs, subscription, sender);
+                requestSubscription(nowUs, subscription, sender);
             }
         }
-        if (subscriptions.size() < WANTED) {
-            // Few voters answer, or it is this side that is cut off. Where one is fed already there is no haste.
-            nextProbeUs = nowUs + (missing.isEmpty() ? drawn() : settings.repeatUs());
+        if (subscriptions.size() < FEED_COUNT) {
+            // Few voters answer, or this member is cut off. There is no hurry if the observer has a feed already.
+            nextProbeUs = nowUs + (missing.isEmpty() ? drawBackOffUs() : settings.retransmitUs());
         } else {
             nextProbeUs = nowUs + settings.rebalanceUs() / 2 + random.nextLong(settings.rebalanceUs());
         }
         subscriptions.sort((one, other) -> Long.compare(rank(best, one), rank(best, other)));
     }
 
-    /** One that is not wanted any more makes room; never more than one at a time, so that one always feeds. */
-    private void leaveOne(List<String> best, MessageSender sender) {
-        Subscription worst = subscriptions.stream().filter(subscription -> !best.contains(subscription.voter)).reduce((one, other) -> other).orElse(null);
-        if (worst != null && subscriptions.stream().anyMatch(subscription -> subscription != worst && subscription.joined)) {
+    /** Ends the last subscription to a voter that is not among the best: one at a time, so that the observer always has a feed. */
+    private void endWorstSubscription(List<String> best, MessageSender sender) {
+        Subscription worst = subscriptions.stream().filter(subscription -> !best.contains(subscription.voter))
+                .reduce((one, other) -> other).orElse(null);
+        if (worst != null && subscriptions.stream().anyMatch(subscription -> subscription != worst && subscription.active)) {
             subscriptions.remove(worst);
             sender.send(worst.voter, new ObserveMessage.Leave());
             counters.increment("feeds.changed");
@@ -251,36 +257,37 @@
 
     private static int rank(List<String> best, Subscription subscription) {
         int at = best.indexOf(subscription.voter);
-        return (subscription.joined ? 0 : 10) + (at < 0 ? 5 : at);
+        return (subscription.active ? 0 : 10) + (at < 0 ? 5 : at);
     }
 
-    private long drawn() {
-        long wait = backOffUs + random.nextLong(backOffUs);
-        backOffUs = Math.min(2 * backOffUs, settings.mostBackOffUs());
-        return wait;
+    private long drawBackOffUs() {
+        long waitUs = backOffUs + random.nextLong(backOffUs);
+        backOffUs = Math.min(2 * backOffUs, settings.maxBackOffUs());
+        return waitUs;
     }
 
-    private void join(long nowUs, Subscription subscription, MessageSender sender) {
-        sender.send(subscription.voter, new ObserveMessage.Join(number(nowUs, subscription), region, primary(subscription)));
+    private void requestSubscription(long nowUs, Subscription subscription, MessageSender sender) {
+        sender.send(subscription.voter, new ObserveMessage.Join(nextSeq(nowUs, subscription), region, isPrimary(subscription)));
     }
 
-    private void beat(long nowUs, Subscription subscription, long root, long awayUs, MessageSender sender) {
-        // The draw keeps observers that started together from beating together for ever.
-        subscription.nextBeatUs = nowUs + settings.beatUs() - random.nextLong(Math.max(1, settings.beatUs() / 8));
-        sender.send(subscription.voter, new ObserveMessage.Beat(number(nowUs, subscription), primary(subscription), root, awayUs));
-        subscription.unanswered++;
+    private void sendHeartbeat(long nowUs, Subscription subscription, long rootHash, long awayUs, MessageSender sender) {
+        // The jitter keeps observers that started together from sending their heartbeats at the same moments for ever.
+        subscription.nextHeartbeatUs = nowUs + settings.beatUs() - random.nextLong(Math.max(1, settings.beatUs() / 8));
+        sender.send(subscription.voter,
+                new ObserveMessage.Beat(nextSeq(nowUs, subscription), isPrimary(subscription), rootHash, awayUs));
+        subscription.unansweredHeartbeats++;
     }
 
-    private long number(long nowUs, Subscription subscription) {
+    private long nextSeq(long nowUs, Subscription subscription) {
         subscription.sentUs = nowUs;
-        subscription.sent.put(++seqs, nowUs);
-        if (subscription.sent.size() > MOST_SENT) {
-            subscription.sent.pollFirstEntry();
+        subscription.unansweredSentUs.put(++lastSeq, nowUs);
+        if (subscription.unansweredSentUs.size() > MAX_UNANSWERED_REQUESTS) {
+            subscription.unansweredSentUs.pollFirstEntry();
         }
-        return seqs;
+        return lastSeq;
     }
 
-    private boolean primary(Subscription subscription) {
+    private boolean isPrimary(Subscription subscription) {
         return subscriptions.get(0) == subscription;
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/ForwardedOrders.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ForwardedOrders.java
@@ -6,70 +6,70 @@
 import walkpost.fleet.copy.Order;
 
 /**
- * Observers' orders that this voter has given to its shards: owns who waits for the answer to each, and for a while what the answer was,
- * so that a copy of a call that comes late, or comes again, is answered the same and proposed no more: its caller may have been told.
+ * The orders that observers have forwarded and this voter has given to its shards: owns which observers wait for each, and keeps the
+ * replies for a while. A copy of a forwarded order that arrives late or again gets the same reply and is not proposed again, because its
+ * caller may have been answered.
  */
 final class ForwardedOrders {
-    /** So many may be under way at a time: beyond that a voter refuses at once, and the observer tries another. */
-    private static final int MOST = 256;
-    /** So many answers are kept. */
-    private static final int MOST_ANSWERED = 4 * MOST;
-    /** An order takes 2 s at most, in a shard. */
-    private static final long OVER_US = 5_000_000;
-    /** By far longer than a message is on its way, and than an observer tries. */
-    private static final long ANSWERED_US = 10_000_000;
+    /** How many orders may be under way at a time; beyond that the voter refuses at once, and the observer tries another voter. */
+    private static final int MAX_UNDER_WAY = 256;
+    private static final int MAX_KEPT_REPLIES = 4 * MAX_UNDER_WAY;
+    /** An order is under way in a shard for at most 2 s. */
+    private static final long UNDER_WAY_TIMEOUT_US = 5_000_000;
+    /** Far longer than a message is in flight, and than an observer keeps trying. */
+    private static final long REPLY_RETENTION_US = 10_000_000;
 
     private static final String UNCERTAIN = FleetException.Uncertain.class.getSimpleName();
 
-    private static final class Waiting {
-        /** The highest attempt of each observer. */
-        private final Map<String, Long> observers = new LinkedHashMap<>();
+    private static final class OrderUnderWay {
+        private final Map<String, Long> highestAttemptByObserver = new LinkedHashMap<>();
         private final long sinceUs;
 
-        private Waiting(long sinceUs) {
+        private OrderUnderWay(long sinceUs) {
             this.sinceUs = sinceUs;
         }
     }
 
-    private record Asked(String observer, String id) { }
+    private record ReplyKey(String observer, String orderId) { }
 
-    private record Answered(ObserveMessage.Answer answer, long atUs) { }
+    private record KeptReply(ObserveMessage.Answer reply, long repliedUs) { }
 
     private final ObserveCounters counters;
-    private final Map<String, Waiting> waiting = new LinkedHashMap<>();
-    private final Map<Asked, Answered> answered = new LinkedHashMap<>();
-    private long bornUs = Long.MIN_VALUE;
+    private final Map<String, OrderUnderWay> underWay = new LinkedHashMap<>();
+    private final Map<ReplyKey, KeptReply> keptReplies = new LinkedHashMap<>();
+    private long startedUs = Long.MIN_VALUE;
 
     ForwardedOrders(ObserveCounters counters) {
         this.counters = counters;
     }
 
-    /** Something has happened at this time; the first time is this life's beginning. */
-    void clock(long nowUs) {
-        bornUs = bornUs == Long.MIN_VALUE ? nowUs : bornUs;
+    /** Records the time of an event; the first one is the start of this life. */
+    void recordTime(long nowUs) {
+        startedUs = startedUs == Long.MIN_VALUE ? nowUs : startedUs;
     }
 
-    /** Takes a call. Returns true where it is to be proposed: neither answered nor on its way already, nor one too many. */
-    boolean take(long nowUs, String from, ObserveMessage.Call call, MessageSender sender) {
-        Answered before = answered.get(new Asked(from, call.id()));
-        if (before != null && (before.answer.order() != null || call.attempt() <= before.answer.attempt())) {
-            sender.send(from, at(nowUs, before.answer, before.answer.attempt()));
+    /** Takes a forwarded order. Returns true if it is to be proposed: it is neither answered nor under way, nor one too many. */
+    boolean receive(long nowUs, String from, ObserveMessage.Call order, MessageSender sender) {
+        KeptReply kept = keptReplies.get(new ReplyKey(from, order.id()));
+        if (kept != null && (kept.reply.order() != null || order.attempt() <= kept.reply.attempt())) {
+            sender.send(from, withAttempt(nowUs, kept.reply, kept.reply.attempt()));
             return false;
         }
-        Waiting known = waiting.get(call.id());
+        OrderUnderWay known = underWay.get(order.id());
         if (known != null) {
-            known.observers.merge(from, call.attempt(), Math::max);
+            known.highestAttemptByObserver.merge(from, order.attempt(), Math::max);
             return false;
         }
-        if (waiting.size() >= MOST) {
+        if (underWay.size() >= MAX_UNDER_WAY) {
             counters.increment("calls.refused_many");
-            ObserveMessage.Answer full = answer(call.id(), new FleetException.Full("orders under way at this voter", MOST), true);
-            answer(nowUs, from, full, call.attempt(), sender);
+            ObserveMessage.Answer full = refusal(order.id(),
+                    new FleetException.Full("orders under way at this voter", MAX_UNDER_WAY), true);
+            reply(nowUs, from, full, order.attempt(), sender);
             return false;
         }
-        var first = new Waiting(nowUs);
-        first.observers.put(from, call.attempt());
-        waiting.put(call.id(), first);
+        var first = new OrderUnderWay(nowUs);
+        first.highestAttemptByObserver.put(from, order.attempt());
+        underWay.put(order.id(), first);
         counters.increment("calls");
         return true;
     }
@@ -78,48 +78,50 @@
         end(nowUs, id, new ObserveMessage.Answer(id, 0, 0, order, null, null, null, false), sender);
     }
 
-    void refused(long nowUs, String id, FleetException why, MessageSender sender) {
-        // Of these another voter, or this one a moment later, may well make something; what the order is about has not changed.
-        boolean again = why instanceof FleetException.NotLevel || why instanceof FleetException.NoMajority
-                || why instanceof FleetException.Uncertain || why instanceof FleetException.BadDirectory
-                || why instanceof FleetException.Busy busy && busy.isSameOrder();
-        end(nowUs, id, answer(id, why, again), sender);
+    void refused(long nowUs, String id, FleetException cause, MessageSender sender) {
+        // After these refusals another voter, or this one a moment later, may accept the order: the slot's content is not the reason.
+        boolean again = cause instanceof FleetException.NotLevel || cause instanceof FleetException.NoMajority
+                || cause instanceof FleetException.Uncertain || cause instanceof FleetException.BadDirectory
+                || cause instanceof FleetException.Busy busy && busy.isSameOrder();
+        end(nowUs, id, refusal(id, cause, again), sender);
     }
 
+    /** Forgets the orders and the replies whose time has passed. */
     void tick(long nowUs) {
-        waiting.values().removeIf(each -> nowUs - each.sinceUs > OVER_US);
-        answered.values().removeIf(each -> nowUs - each.atUs > ANSWERED_US);
+        underWay.values().removeIf(each -> nowUs - each.sinceUs > UNDER_WAY_TIMEOUT_US);
+        keptReplies.values().removeIf(each -> nowUs - each.repliedUs > REPLY_RETENTION_US);
     }
 
-    private void end(long nowUs, String id, ObserveMessage.Answer answer, MessageSender sender) {
-        Waiting over = waiting.remove(id);
-        if (over != null) {
-            over.observers.forEach((to, attempt) -> answer(nowUs, to, answer, attempt, sender));
+    private void end(long nowUs, String id, ObserveMessage.Answer reply, MessageSender sender) {
+        OrderUnderWay ended = underWay.remove(id);
+        if (ended != null) {
+            ended.highestAttemptByObserver.forEach((to, attempt) -> reply(nowUs, to, reply, attempt, sender));
         }
     }
 
-    private void answer(long nowUs, String to, ObserveMessage.Answer answer, long attempt, MessageSender sender) {
-        var asked = new Asked(to, answer.id());
-        Answered before = answered.remove(asked);
-        ObserveMessage.Answer told = answer;
-        if (answer.order() == null && before != null && UNCERTAIN.equals(before.answer.type())) {
-            // It was decided, so it may stand, or have stood, whatever a later attempt met.
-            told = before.answer;
+    private void reply(long nowUs, String to, ObserveMessage.Answer reply, long attempt, MessageSender sender) {
+        var key = new ReplyKey(to, reply.id());
+        KeptReply before = keptReplies.remove(key);
+        ObserveMessage.Answer sent = reply;
+        if (reply.order() == null && before != null && UNCERTAIN.equals(before.reply.type())) {
+            // The order was decided, so that it may be or have been in force, whatever the result of a later attempt.
+            sent = before.reply;
         }
-        told = at(nowUs, told, attempt);
-        if (answered.size() >= MOST_ANSWERED) {
-            answered.remove(answered.keySet().iterator().next());
+        sent = withAttempt(nowUs, sent, attempt);
+        if (keptReplies.size() >= MAX_KEPT_REPLIES) {
+            keptReplies.remove(keptReplies.keySet().iterator().next());
         }
-        answered.put(asked, new Answered(told, nowUs));
-        sender.send(to, told);
+        keptReplies.put(key, new KeptReply(sent, nowUs));
+        sender.send(to, sent);
     }
 
-    private ObserveMessage.Answer at(long nowUs, ObserveMessage.Answer told, long attempt) {
-        return new ObserveMessage.Answer(told.id(), attempt, nowUs - bornUs, told.order(), told.type(), told.text(), told.remedy(),
-                told.again());
+    private ObserveMessage.Answer withAttempt(long nowUs, ObserveMessage.Answer reply, long attempt) {
+        return new ObserveMessage.Answer(reply.id(), attempt, nowUs - startedUs, reply.order(), reply.type(), reply.text(),
+                reply.remedy(), reply.again());
     }
 
-    private static ObserveMessage.Answer answer(String id, FleetException why, boolean again) {
-        return new ObserveMessage.Answer(id, 0, 0, null, why.getClass().getSimpleName(), why.problem(), why.remedy(), again);
+    private static ObserveMessage.Answer refusal(String id, FleetException cause, boolean again) {
+        return new ObserveMessage.Answer(id, 0, 0, null, cause.getClass().getSimpleName(), cause.problem(), cause.remedy(),
+                again);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
@@ -15,91 +15,101 @@
 import walkpost.fleet.copy.Order;
 
 /**
- * What operators ask of all voters at once, fetched only then: owns the questions that are open. Any member may ask, voters among them
- * (whose own part the owner hands to {@link Feed} like a message from itself).
+ * Operators' queries that are sent to all voters: owns the queries that are open, and collects the replies. Any member may query; a voter
+ * hands its own part to its {@link Feed} as a message from itself.
+ *
+ * <p>Not thread-safe: the owner's lock guards it.
  */
 public final class Inquiries {
-    /** A question is answered with what has come by then, the voters that have not answered named. */
-    private static final long PATIENCE_US = 1_000_000;
-    private static final Comparator<Entry> NEWER = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
+    /** A query ends after this time with the replies that have arrived, and names the voters that have not replied. */
+    private static final long TIMEOUT_US = 1_000_000;
+    private static final Comparator<Entry> BY_VERSION = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
-    /** What the voters have answered, those that did not in time named. */
+    /** The entries that the voters returned, and the voters that have not replied in full. */
     public record EntriesFound(List<Entry> facts, List<String> silent) { }
 
-    /** By how many an order is held, of how many; names of some that lack it; the voters that did not answer. */
+    /** How many of the counted members hold an order; names of some members that lack it; the voters that have not replied. */
     public record Coverage(int held, int of, List<String> lacking, List<String> silent) { }
 
-    private static final class Question {
-        private final boolean facts;
-        private final long untilUs;
+    private static final class Query {
+        private final boolean forEntries;
+        private final long deadlineUs;
         private final TreeSet<String> silent;
-        private final Map<String, BitSet> parts = new TreeMap<>();
+        private final Map<String, BitSet> partsByVoter = new TreeMap<>();
         private final Map<Entry.Key, Entry> found = new LinkedHashMap<>();
         private final TreeSet<String> lacking = new TreeSet<>();
         private int held;
         private int of;
 
-        private Question(boolean facts, long nowUs, Collection<String> voters) {
-            this.facts = facts;
-            this.untilUs = nowUs + PATIENCE_US;
+        private Query(boolean forEntries, long nowUs, Collection<String> voters) {
+            this.forEntries = forEntries;
+            this.deadlineUs = nowUs + TIMEOUT_US;
             this.silent = new TreeSet<>(voters);
         }
     }
 
-    private final Map<Long, Question> open = new TreeMap<>();
-    private long numbers;
+    private final Map<Long, Query> openQueries = new TreeMap<>();
+    private long lastNumber;
 
-    /** Asks which facts on a topic were reported; {@code send} gets whom to ask and the message. Returns the question's number. */
-    public long askEntries(long nowUs, String topic, Collection<String> voters, BiConsumer<String, ObserveMessage> send) {
-        open.put(++numbers, new Question(true, nowUs, voters));
-        voters.forEach(to -> send.accept(to, new ObserveMessage.AskEntries(numbers, topic)));
-        return numbers;
+    /**
+     * Queries the entries on a topic that observers have reported. Returns the number of the query.
+     *
+     * @param sender sends a message to the voter of a name
+     */
+    public long askEntries(long nowUs, String topic, Collection<String> voters, BiConsumer<String, ObserveMessage> sender) {
+        openQueries.put(++lastNumber, new Query(true, nowUs, voters));
+        voters.forEach(to -> sender.accept(to, new ObserveMessage.AskEntries(lastNumber, topic)));
+        return lastNumber;
     }
 
-    /** Asks who holds an order. Returns the question's number. */
-    public long askHeld(long nowUs, Order.Key key, String id, Collection<String> voters, BiConsumer<String, ObserveMessage> send) {
-        open.put(++numbers, new Question(false, nowUs, voters));
-        voters.forEach(to -> send.accept(to, new ObserveMessage.AskHeld(numbers, key, id)));
-        return numbers;
+    /**
+     * Queries how many members hold an order. Returns the number of the query.
+     *
+     * @param sender sends a message to the voter of a name
+     */
+    public long askHeld(long nowUs, Order.Key key, String id, Collection<String> voters, BiConsumer<String, ObserveMessage> sender) {
+        openQueries.put(++lastNumber, new Query(false, nowUs, voters));
+        voters.forEach(to -> sender.accept(to, new ObserveMessage.AskHeld(lastNumber, key, id)));
+        return lastNumber;
     }
 
-    /** Takes an answer from a voter; anything else is passed over. */
+    /** Takes a voter's reply; ignores all other messages. */
     public void received(long nowUs, String from, ObserveMessage message) {
-        if (message instanceof ObserveMessage.Entries answer) {
-            Question question = open.get(answer.seq());
-            if (question == null || !question.facts || !question.silent.contains(from)
-                    || !MessageSizes.isValidPart(answer.part(), answer.parts())) {
+        if (message instanceof ObserveMessage.Entries reply) {
+            Query query = openQueries.get(reply.seq());
+            if (query == null || !query.forEntries || !query.silent.contains(from)
+                    || !MessageSizes.isValidPart(reply.part(), reply.parts())) {
                 return;
             }
-            answer.facts().forEach(fact -> question.found.merge(fact.key(), fact, (a, b) -> NEWER.compare(a, b) >= 0 ? a : b));
-            BitSet parts = question.parts.computeIfAbsent(from, name -> new BitSet());
-            parts.set(answer.part());
-            if (parts.cardinality() == answer.parts()) {
-                question.silent.remove(from);
+            reply.facts().forEach(entry -> query.found.merge(entry.key(), entry, (a, b) -> BY_VERSION.compare(a, b) >= 0 ? a : b));
+            BitSet parts = query.partsByVoter.computeIfAbsent(from, name -> new BitSet());
+            parts.set(reply.part());
+            if (parts.cardinality() == reply.parts()) {
+                query.silent.remove(from);
             }
-        } else if (message instanceof ObserveMessage.Held answer) {
-            Question question = open.get(answer.seq());
-            if (question != null && !question.facts && question.silent.remove(from)) {
-                question.held += answer.held();
-                question.of += answer.of();
-                question.lacking.addAll(answer.lacking());
+        } else if (message instanceof ObserveMessage.Held reply) {
+            Query query = openQueries.get(reply.seq());
+            if (query != null && !query.forEntries && query.silent.remove(from)) {
+                query.held += reply.held();
+                query.of += reply.of();
+                query.lacking.addAll(reply.lacking());
             }
         }
     }
 
-    /** Hands over what is answered by all, or has waited for a second. */
-    public void done(long nowUs, BiConsumer<Long, Inquiries.EntriesFound> facts, BiConsumer<Long, Coverage> held) {
-        for (Map.Entry<Long, Question> each : List.copyOf(open.entrySet())) {
-            Question question = each.getValue();
-            if (!question.silent.isEmpty() && nowUs < question.untilUs) {
+    /** Delivers the results, by the number of the query, of the queries that all voters have answered or whose time has passed. */
+    public void done(long nowUs, BiConsumer<Long, EntriesFound> entries, BiConsumer<Long, Coverage> coverage) {
+        for (Map.Entry<Long, Query> each : List.copyOf(openQueries.entrySet())) {
+            Query query = each.getValue();
+            if (!query.silent.isEmpty() && nowUs < query.deadlineUs) {
                 continue;
             }
-            open.remove(each.getKey());
-            if (question.facts) {
-                facts.accept(each.getKey(), new Inquiries.EntriesFound(new ArrayList<>(question.found.values()), List.copyOf(question.silent)));
+            openQueries.remove(each.getKey());
+            if (query.forEntries) {
+                entries.accept(each.getKey(), new EntriesFound(new ArrayList<>(query.found.values()), List.copyOf(query.silent)));
             } else {
-                held.accept(each.getKey(), new Coverage(question.held, question.of, List.copyOf(question.lacking),
-                        List.copyOf(question.silent)));
+                coverage.accept(each.getKey(), new Coverage(query.held, query.of, List.copyOf(query.lacking),
+                        List.copyOf(query.silent)));
             }
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/MessageSender.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/MessageSender.java
@@ -1,6 +1,7 @@
 package walkpost.fleet.observe;
 
-/** Where a part of a machine puts what it wants to have sent. */
+/** Sends the messages of the parts of a {@link Feed} or an {@link Observer}. */
 interface MessageSender {
+    /** Sends a message to a member; the message may be lost. */
     void send(String name, ObserveMessage message);
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveCounters.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveCounters.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** ObserveCounters by name; owned by the machine that counts. */
+/** The counters of a {@link Feed} or an {@link Observer}, by name. Not thread-safe: their owner's lock guards them. */
 final class ObserveCounters {
     private final Map<String, Long> counts = new TreeMap<>();
 
@@ -11,7 +11,7 @@
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Returns all counts so far; a copy. */
+    /** Returns a copy of all counters so far; a counter appears with its first increment. */
     Map<String, Long> snapshot() {
         return new TreeMap<>(counts);
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
@@ -11,8 +11,12 @@
 import walkpost.fleet.copy.Slot;
 
 /**
- * What observers and voters say to each other, all shards together. Unknown fields are passed over; each stays below 32 KiB. None of
- * them promises or acknowledges anything to a shard: an observer has no vote, whatever it says.
+ * A message between an observer and a voter, or between two voters about their observers, encoded as CBOR. It concerns all shards at
+ * once. The names of the record components are the names of the CBOR fields and must not change: {@code facts}, for example, holds
+ * entries, and {@code level} tells whether the sender is caught up. Receivers ignore unknown fields. A message stays below 32 KiB; longer
+ * content is sent in parts. {@code equals} does not work for messages that hold arrays.
+ *
+ * <p>No message promises or confirms anything to a shard, because an observer has no vote.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
@@ -39,39 +43,54 @@
     @JsonSubTypes.Type(value = ObserveMessage.Sum.class, name = "u")
 })
 public sealed interface ObserveMessage {
-    /** An observer asks a voter to be its feed; {@code primary} where that voter is to count it among those who live. */
+    /**
+     * Subscribes an observer to a voter, which becomes its feed.
+     *
+     * @param primary whether the voter is to count the observer among the live ones; each observer has one primary feed
+     */
     record Join(long seq, String region, boolean primary) implements ObserveMessage { }
 
-    /** The voter takes it; {@code regions} of all voters that it knows of, by name. */
+    /**
+     * Accepts a subscription.
+     *
+     * @param regions the regions of all voters that the sender knows of, by voter name
+     */
     record Welcome(long seq, Map<String, String> regions) implements ObserveMessage {
         public Welcome {
             regions = Map.copyOf(regions);
         }
     }
 
-    /** The voter does not take it, or not now: it may come again after so many milliseconds, here or elsewhere. */
+    /**
+     * Refuses a subscription, or answers a heartbeat of an observer that has none.
+     *
+     * @param retryMs the time in milliseconds after which the observer may try this voter again
+     */
     record Later(long seq, Reason why, long retryMs) implements ObserveMessage {
         public Later {
             Objects.requireNonNull(why, "why");
         }
     }
 
-    /** The observer has another feed now, or ends. */
+    /** Ends a subscription: the observer has replaced this feed by another, or ends. */
     record Leave() implements ObserveMessage { }
 
     /**
-     * The one exchange that an observer that misses nothing has: the root over all that stands in its copy, and how long ago it was
-     * last sure of that copy, in microseconds.
+     * Sends the root hash of the observer's replica to a voter. An observer that is in sync exchanges only heartbeats and their replies.
+     *
+     * @param primary whether the voter is the observer's primary feed
+     * @param root the root hash of the orders in force in the observer's replica
+     * @param awayUs the time since the observer's replica was last known to equal the fleet's orders
      */
     record Beat(long seq, boolean primary, long root, long awayUs) implements ObserveMessage { }
 
     /**
-     * The answer to a beat.
+     * Answers a heartbeat.
      *
-     * @param level whether the voter is level in all shards: only then does its copy count as the fleet's
-     * @param awayUs how long ago it last was
-     * @param nodes of the voter's tree where the roots differ; empty where they do not
-     * @param lives how many observers live, by region, as all voters together know; empty where that is not known
+     * @param level whether the voter has caught up in all shards: only then does its replica stand for the fleet's orders
+     * @param awayUs the time since the voter was last caught up
+     * @param nodes the node hashes of the voter's tree if the roots differ; empty if they are equal
+     * @param lives the number of live observers by region, as counted by all voters together; empty if it is not known
      */
     record Echo(long seq, boolean level, long awayUs, long[] nodes, Map<String, Integer> lives) implements ObserveMessage {
         public Echo {
@@ -80,7 +99,7 @@
         }
     }
 
-    /** The observer's leaves below the nodes that differ, sixteen for each. */
+    /** Carries the observer's leaf hashes below the nodes that differ, 16 for each node. */
     record Leaves(long seq, int[] nodes, long[] leaves) implements ObserveMessage {
         public Leaves {
             Objects.requireNonNull(nodes, "nodes");
@@ -88,7 +107,11 @@
         }
     }
 
-    /** What stands at the voter in leaves that differ; one of so many parts. {@code leaves} are the differing ones, by number. */
+    /**
+     * Lists the voter's slots in the leaves that differ, in one part of several.
+     *
+     * @param leaves the numbers of the leaves that differ
+     */
     record Stamps(long seq, int part, int parts, int[] leaves, List<ShardMessage.SlotDigest> stamps) implements ObserveMessage {
         public Stamps {
             Objects.requireNonNull(leaves, "leaves");
@@ -96,31 +119,31 @@
         }
     }
 
-    /** The observer asks for some slots. */
+    /** Requests slots by key. */
     record Want(long seq, List<Order.Key> keys) implements ObserveMessage {
         public Want {
             keys = List.copyOf(keys);
         }
     }
 
-    /** Slots that were asked for, or that the voter has more of than it was offered. */
+    /** Carries slots that were requested, or slots in which the voter holds more than an offer contained. */
     record Slots(long seq, long awayUs, List<Slot> slots) implements ObserveMessage {
         public Slots {
             slots = List.copyOf(slots);
         }
     }
 
-    /** Slots that have just changed at the voter. To be answered by {@link Taken} with the same number. */
+    /** Carries slots that have just changed at the voter. The observer answers with a {@link Taken} of the same number. */
     record Push(long number, long awayUs, List<Slot> slots) implements ObserveMessage {
         public Push {
             slots = List.copyOf(slots);
         }
     }
 
-    /** The observer has what was pushed. */
+    /** Acknowledges a push: the observer has merged its slots. */
     record Taken(long number) implements ObserveMessage { }
 
-    /** What the observer has and the voter has not, or not all of. A voter takes it only from a copy that is not too old. */
+    /** Offers slots that the voter lacks or holds in part. A voter accepts an offer only if the observer's replica is not too old. */
     record Offer(long awayUs, List<Slot> slots) implements ObserveMessage {
         public Offer {
             slots = List.copyOf(slots);
@@ -128,9 +151,10 @@
     }
 
     /**
-     * An operator's order that was given to an observer; the same id may come over several voters and is carried out once.
+     * Forwards an operator's order to a voter. An order with the same id may reach several voters and is carried out once.
      *
-     * @param attempt goes up with each sending by this observer, of whatever call and to whomever, and from life to life
+     * @param attempt a number that increases with each message that forwards an order of this observer, to any voter, and from one life to
+     *     the next
      */
     record Call(Order.Key key, String id, String replaces, String payload, long attempt) implements ObserveMessage {
         public Call {
@@ -140,11 +164,11 @@
     }
 
     /**
-     * What came of a call: the acknowledged order, or the reason why not: its type, what happened, and what an operator can do.
+     * Answers a forwarded order: with the acknowledged order, or with the error's type, problem and remedy.
      *
-     * @param attempt the highest that this answers: copies of it, and of earlier ones, that come later are answered the same
-     * @param aliveUs for how long the voter's process has run: whatever was sent to it before that it knows nothing of
-     * @param again whether another voter, or this one a moment later, may well take it
+     * @param attempt the highest attempt that this answers; a copy of it or of an earlier attempt that arrives later gets the same answer
+     * @param aliveUs how long the voter's process has run: it knows nothing of a message that was sent to it before
+     * @param again whether another voter, or the same one a moment later, may accept the order
      */
     record Answer(String id, long attempt, long aliveUs, Order order, String type, String text, String remedy, boolean again)
             implements ObserveMessage {
@@ -153,24 +177,24 @@
         }
     }
 
-    /** Facts that the observer wrote, their ages counted to the sending. */
+    /** Reports entries that the observer has written, with their ages at the time of sending. */
     record Report(List<Entry> facts) implements ObserveMessage {
         public Report {
             facts = List.copyOf(facts);
         }
     }
 
-    /** Which facts on a topic were reported to the voter asked? */
+    /** Queries the entries on a topic that observers have reported to the voter. */
     record AskEntries(long seq, String topic) implements ObserveMessage { }
 
-    /** Those facts, their ages counted to the sending; one of so many parts. */
+    /** Answers an entries query with the entries and their ages at the time of sending, in one part of several. */
     record Entries(long seq, int part, int parts, List<Entry> facts) implements ObserveMessage {
         public Entries {
             facts = List.copyOf(facts);
         }
     }
 
-    /** Which of the observers that the voter counts hold this order, or what has come after it? */
+    /** Queries which of the observers that the voter counts hold an order, or an order that has replaced it. */
     record AskHeld(long seq, Order.Key key, String id) implements ObserveMessage {
         public AskHeld {
             Objects.requireNonNull(key, "key");
@@ -178,20 +202,30 @@
         }
     }
 
-    /** So many of those that the voter counts, itself among them, hold it; names of some that do not. */
+    /**
+     * Answers a coverage query.
+     *
+     * @param held how many of the counted members hold the order
+     * @param of how many members the voter counts: its observers and itself
+     * @param lacking the names of some members that do not hold the order
+     */
     record Held(long seq, int held, int of, List<String> lacking) implements ObserveMessage {
         public Held {
             lacking = List.copyOf(lacking);
         }
     }
 
-    /** Among voters: the sender's region, and how many observers it counts, by region. */
+    /**
+     * Tells another voter the sender's region and the observers that the sender counts.
+     *
+     * @param lives the number of observers by region
+     */
     record Sum(String region, Map<String, Integer> lives) implements ObserveMessage {
         public Sum {
             lives = Map.copyOf(lives);
         }
     }
 
-    /** Why a voter does not take an observer now: it has as many as it bears, or too many come at once, or it does not know it. */
+    /** Why a voter refuses an observer: it serves as many as it may, too many subscribe at once, or it does not know the observer. */
     enum Reason { FULL, TOO_MANY_AT_ONCE, UNKNOWN }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Observer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Observer.java
@@ -18,20 +18,20 @@
 import walkpost.fleet.member.Life;
 
 /**
- * A member without a vote: it keeps a copy of all shards' orders by way of two voters, its feeds, whatever the number of members or
- * shards. See {@code docs/fleet.md}. Its parts own one state each; this class owns what has been told to the process, and how sure it is
- * of its copy.
+ * The state machine of an observer, a member without a vote: it keeps a replica of the orders of all shards through two voters, its
+ * feeds, so that the load does not grow with the number of members or shards. See {@code docs/fleet.md}. Each part owns one piece of the
+ * state; this class owns which effective orders were published to the process, and when the replica was last in sync.
  *
- * <p>Slots are joined, never replaced, so that no voter, however far behind, takes it back. What it was told is acted on until something
- * newer comes, also where no voter is in reach.
+ * <p>Slots are merged, never replaced, so that no voter, however far behind, can revert an order. The process acts on a published order
+ * until a newer one arrives, also while no voter is in reach.
  *
- * <p>Readers are to be called by whoever may call {@link #handle}, under the same lock; what they return stays as it is.
+ * <p>Not thread-safe: the getters need the same lock as {@link #handle}. The collections they return do not change afterwards.
  */
 public final class Observer implements StateMachine<ObserverEvent, ObserverAction> {
-    /** The age of a copy that never was level: huge, and small enough for sums. */
+    /** The age of a replica that has never been in sync: huge, but small enough to be added without overflow. */
     public static final long NEVER_US = Long.MAX_VALUE / 4;
-    /** A step of the clock that is no mere slowness. */
-    private static final long GAP_US = 1_000_000;
+    /** A step of the clock above this means that the process was suspended, not merely slow. */
+    private static final long SUSPENDED_GAP_US = 1_000_000;
 
     private final ObserveSettings settings;
     private final Set<String> voters;
@@ -41,26 +41,28 @@
     private final SlotSyncClient slotSync;
     private final OrderForwarder orderForwarder;
     private final OwnEntries ownEntries;
-    private final Map<Order.Key, EffectiveOrder> told = new HashMap<>();
-    private final Set<Order.Key> untold = new LinkedHashSet<>();
-    private Map<String, Integer> lives = Map.of();
-    /** Whether the copy was once equal to a level voter's: then what it holds may be acted on. */
-    private boolean sure;
-    private boolean level;
-    private long equalUs;
+    private final Map<Order.Key, EffectiveOrder> published = new HashMap<>();
+    private final Set<Order.Key> unpublished = new LinkedHashSet<>();
+    private Map<String, Integer> observersByRegion = Map.of();
+    /** Whether the replica has been equal to a caught-up voter's since it was last empty; only then may its orders be acted on. */
+    private boolean hasBeenInSync;
+    private boolean caughtUp;
+    /** When the replica was last known to be in sync; valid only if {@link #hasBeenInSync}. */
+    private long lastInSyncUs;
     private long lastUs = Long.MIN_VALUE;
 
     /**
-     * Makes an observer that holds nothing.
+     * Makes an observer with an empty replica.
      *
      * @param self this member's name and incarnation
-     * @param region where it runs; empty where the file names none
-     * @param voters all voters' names; this one's is not among them
-     * @param seed of the random choice among voters and of back-offs
+     * @param region this member's region; empty if the fleet file names none
+     * @param voters the names of all voters; this member is not one of them
+     * @param seed the seed of the jitter, and of the order in which a comparison visits the differing nodes
      */
     public Observer(ObserveSettings settings, Life self, String region, Set<String> voters, long seed) {
         if (voters.isEmpty() || voters.contains(self.name())) {
-            throw new IllegalArgumentException("an observer needs voters, and is none of them");
+            throw new IllegalArgumentException("an observer needs at least one voter and must not be one itself: self=" + self.name()
+                    + ", voters=" + voters);
         }
         this.settings = settings;
         this.voters = Set.copyOf(voters);
@@ -73,68 +75,68 @@
 
     @Override
     public void handle(long nowUs, ObserverEvent event, Consumer<ObserverAction> actions) {
-        clock(nowUs);
+        recordTime(nowUs);
         MessageSender sender = (to, message) -> actions.accept(new ObserverAction.Send(to, message));
         if (event instanceof ObserverEvent.Tick) {
             tick(nowUs, sender, actions);
-        } else if (event instanceof ObserverEvent.Voters living) {
-            subscriptions.living(new TreeSet<>(living.roundTripUs().keySet().stream().filter(voters::contains).toList()));
+        } else if (event instanceof ObserverEvent.Voters live) {
+            subscriptions.setLiveVoters(new TreeSet<>(live.roundTripUs().keySet().stream().filter(voters::contains).toList()));
         } else if (event instanceof ObserverEvent.Received received) {
             if (voters.contains(received.from())) {
                 receive(nowUs, received.from(), received.message(), sender, actions);
             } else {
                 counters.increment("dropped.no_voter");
             }
-        } else if (event instanceof ObserverEvent.WriteEntry tell) {
-            ownEntries.write(nowUs, tell.topic(), tell.subject(), tell.payload());
+        } else if (event instanceof ObserverEvent.WriteEntry write) {
+            ownEntries.write(nowUs, write.topic(), write.subject(), write.payload());
         } else if (event instanceof ObserverEvent.Propose propose) {
             orderForwarder.propose(nowUs, propose);
-            orderForwarder.tick(nowUs, subscriptions.inTurn(), controlAgeUs(nowUs), sender, actions);
+            orderForwarder.tick(nowUs, subscriptions.votersByPreference(), controlAgeUs(nowUs), sender, actions);
         }
-        settle(nowUs, actions);
+        publishChanges(nowUs, actions);
     }
 
-    /** Returns whether this copy was found equal to a level voter's, and no silence since has put that in doubt. */
+    /** Returns whether this replica was found equal to a caught-up voter's recently enough to rely on it. */
     public boolean isCaughtUp() {
-        return level;
+        return caughtUp;
     }
 
-    /** Returns how long ago this copy was last known to be the fleet's, in microseconds; {@link #NEVER_US} where it never was. */
+    /** Returns how long ago this replica was last known to be in sync, in microseconds; {@link #NEVER_US} if it never was. */
     public long controlAgeUs(long nowUs) {
-        return sure ? nowUs - equalUs : NEVER_US;
+        return hasBeenInSync ? nowUs - lastInSyncUs : NEVER_US;
     }
 
-    /** Returns what stands, by key; removals that are remembered are among them, with no payload. */
+    /** Returns the effective orders by key, including remembered removals, which have no payload. */
     public Map<Order.Key, EffectiveOrder> effectiveOrders() {
         return table.effectiveOrders();
     }
 
-    /** Returns the voters that feed this observer now, the one that counts it first. */
+    /** Returns the voters that feed this observer now, the primary feed first. */
     public List<String> feeds() {
-        return subscriptions.joined();
+        return subscriptions.activeFeeds();
     }
 
-    /** Returns how many observers live by region, as the voters say; empty where that is not known. */
+    /** Returns the number of live observers by region, as the voters report it; empty if it is not known. */
     public Map<String, Integer> lives() {
-        return lives;
+        return observersByRegion;
     }
 
-    /** Returns counts by name. */
+    /** Returns the counters and gauges by name. */
     public Map<String, Long> figures() {
         Map<String, Long> all = counters.snapshot();
         all.put("slots", (long) table.size());
         return all;
     }
 
-    /** Returns an age in words, for people. */
-    public static String words(long ageUs) {
+    /** Returns an age as text for messages to operators. */
+    public static String formatAge(long ageUs) {
         return ageUs >= NEVER_US ? "never" : ageUs / 1_000_000 + " s ago";
     }
 
-    private void clock(long nowUs) {
-        if (lastUs != Long.MIN_VALUE && nowUs - lastUs > GAP_US) {
+    private void recordTime(long nowUs) {
+        if (lastUs != Long.MIN_VALUE && nowUs - lastUs > SUSPENDED_GAP_US) {
             counters.increment("stood_still");
-            subscriptions.stoodStill(nowUs - lastUs);
+            subscriptions.processWasSuspended(nowUs - lastUs);
         }
         lastUs = nowUs;
     }
@@ -142,117 +144,118 @@
     private void tick(long nowUs, MessageSender sender, Consumer<ObserverAction> actions) {
         table.forget(nowUs, settings.removalUs());
         subscriptions.tick(nowUs, table.tree().root(), controlAgeUs(nowUs), sender);
-        ownEntries.tick(nowUs, subscriptions.joined(), subscriptions, sender);
-        orderForwarder.tick(nowUs, subscriptions.inTurn(), controlAgeUs(nowUs), sender, actions);
+        ownEntries.tick(nowUs, subscriptions.activeFeeds(), subscriptions, sender);
+        orderForwarder.tick(nowUs, subscriptions.votersByPreference(), controlAgeUs(nowUs), sender, actions);
     }
 
     private void receive(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<ObserverAction> actions) {
-        if (message instanceof ObserveMessage.Echo echo) {
-            echo(nowUs, from, echo, sender, actions);
+        if (message instanceof ObserveMessage.Echo reply) {
+            receiveHeartbeatReply(nowUs, from, reply, sender, actions);
         } else if (message instanceof ObserveMessage.Push push) {
-            push.slots().forEach(slot -> join(nowUs, slot));
+            push.slots().forEach(slot -> merge(nowUs, slot));
             sender.send(from, new ObserveMessage.Taken(push.number()));
-        } else if (message instanceof ObserveMessage.Stamps stamps) {
-            if (slotSync.stamps(nowUs, from, stamps, controlAgeUs(nowUs), sender)) {
-                subscriptions.beatSoon(nowUs, from);
+        } else if (message instanceof ObserveMessage.Stamps digests) {
+            if (slotSync.receiveDigests(nowUs, from, digests, controlAgeUs(nowUs), sender)) {
+                subscriptions.sendHeartbeatSoon(nowUs, from);
             }
         } else if (message instanceof ObserveMessage.Slots slots) {
-            slots(nowUs, from, slots, sender);
-        } else if (message instanceof ObserveMessage.Answer answer) {
-            orderForwarder.answer(nowUs, from, answer, actions);
-        } else if (message instanceof ObserveMessage.Welcome welcome) {
-            if (subscriptions.welcome(nowUs, from, welcome)) {
-                ownEntries.all(nowUs, from, subscriptions, sender);
+            receiveSlots(nowUs, from, slots, sender);
+        } else if (message instanceof ObserveMessage.Answer reply) {
+            orderForwarder.receiveReply(nowUs, from, reply, actions);
+        } else if (message instanceof ObserveMessage.Welcome accepted) {
+            if (subscriptions.subscribed(nowUs, from, accepted)) {
+                ownEntries.reportAll(nowUs, from, subscriptions, sender);
             }
-        } else if (message instanceof ObserveMessage.Later later) {
-            subscriptions.later(nowUs, from, later, sender);
+        } else if (message instanceof ObserveMessage.Later refusal) {
+            subscriptions.refused(nowUs, from, refusal, sender);
         } else {
             counters.increment("dropped.not_for_observers");
         }
     }
 
-    private void echo(long nowUs, String from, ObserveMessage.Echo echo, MessageSender sender, Consumer<ObserverAction> actions) {
-        Long askedUs = subscriptions.echo(nowUs, from, echo.seq());
-        if (askedUs == null || !echo.level()) {
-            // A voter that is not level may be behind: it tells nothing of what the fleet holds.
+    private void receiveHeartbeatReply(long nowUs, String from, ObserveMessage.Echo reply, MessageSender sender,
+            Consumer<ObserverAction> actions) {
+        Long sentUs = subscriptions.heartbeatReply(nowUs, from, reply.seq());
+        if (sentUs == null || !reply.level()) {
+            // A voter that is not caught up may be behind, so that its replica does not stand for the fleet's orders.
             return;
         }
-        if (!echo.lives().isEmpty() && !echo.lives().equals(lives)) {
-            lives = echo.lives();
-            actions.accept(new ObserverAction.Lives(lives));
+        if (!reply.lives().isEmpty() && !reply.lives().equals(observersByRegion)) {
+            observersByRegion = reply.lives();
+            actions.accept(new ObserverAction.Lives(observersByRegion));
         }
-        if (echo.nodes().length == 0) {
-            equalUs = sure ? Math.max(equalUs, askedUs) : askedUs;
-            sure = true;
+        if (reply.nodes().length == 0) {
+            lastInSyncUs = hasBeenInSync ? Math.max(lastInSyncUs, sentUs) : sentUs;
+            hasBeenInSync = true;
             return;
         }
-        if (sure && nowUs - equalUs - Math.max(0, echo.awayUs()) > settings.removalUs() / 2) {
-            // So long away that what was removed meanwhile may be forgotten by now. What was told is acted on until the copy is whole.
+        if (hasBeenInSync && nowUs - lastInSyncUs - Math.max(0, reply.awayUs()) > settings.removalUs() / 2) {
+            // The voters may have forgotten removals of this time. Published orders are acted on until the replica is in sync again.
             counters.increment("copy.emptied");
-            untold.addAll(table.clear());
-            sure = false;
+            unpublished.addAll(table.clear());
+            hasBeenInSync = false;
         }
-        slotSync.nodes(nowUs, from, echo.seq(), echo.nodes(), sender);
+        slotSync.begin(nowUs, from, reply.seq(), reply.nodes(), sender);
     }
 
-    private void slots(long nowUs, String from, ObserveMessage.Slots slots, MessageSender sender) {
-        List<Slot> more = new ArrayList<>();
+    private void receiveSlots(long nowUs, String from, ObserveMessage.Slots slots, MessageSender sender) {
+        List<Slot> voterLacks = new ArrayList<>();
         boolean changed = false;
         for (Slot slot : slots.slots()) {
-            changed |= join(nowUs, slot);
-            Slot joined = table.slot(slot.key());
-            // Where nothing stands on either side, each forgets that by itself; but a removal ends what stands at the voter.
-            boolean nothing = SlotMerge.isRemoved(slot) && SlotMerge.isRemoved(joined);
-            if (!slot.hasNoHistory() && !nothing && !joined.equals(SlotMerge.join(slot, slot))) {
-                more.add(joined);
+            changed |= merge(nowUs, slot);
+            Slot merged = table.slot(slot.key());
+            // A removal is offered only if the voter has an order in force, because otherwise each side forgets the removal by itself.
+            boolean removedOnBothSides = SlotMerge.isRemoved(slot) && SlotMerge.isRemoved(merged);
+            if (!slot.hasNoHistory() && !removedOnBothSides && !merged.equals(SlotMerge.join(slot, slot))) {
+                voterLacks.add(merged);
             }
         }
-        if (sure) {
-            slotSync.more(from, controlAgeUs(nowUs), more, sender);
+        if (hasBeenInSync) {
+            slotSync.offer(from, controlAgeUs(nowUs), voterLacks, sender);
         }
-        if (slotSync.slots(nowUs, from, slots.slots(), changed, sender)) {
-            subscriptions.beatSoon(nowUs, from);
+        if (slotSync.receiveSlots(nowUs, from, slots.slots(), changed, sender)) {
+            subscriptions.sendHeartbeatSoon(nowUs, from);
         }
     }
 
-    private boolean join(long nowUs, Slot slot) {
-        boolean changed = table.join(nowUs, slot);
+    private boolean merge(long nowUs, Slot slot) {
+        boolean changed = table.merge(nowUs, slot);
         if (changed) {
-            untold.add(slot.key());
+            unpublished.add(slot.key());
         }
         return changed;
     }
 
-    private void settle(long nowUs, Consumer<ObserverAction> actions) {
-        boolean now = sure && nowUs - equalUs <= settings.silenceUs() + settings.beatUs();
-        if (sure) {
-            tellOrders(actions);
+    private void publishChanges(long nowUs, Consumer<ObserverAction> actions) {
+        boolean caughtUpNow = hasBeenInSync && nowUs - lastInSyncUs <= settings.silenceUs() + settings.beatUs();
+        if (hasBeenInSync) {
+            publishOrders(actions);
         }
-        if (now != level) {
-            level = now;
-            counters.increment(now ? "level.reached" : "level.lost");
-            actions.accept(new ObserverAction.CaughtUpChanged(now));
-            if (!now && !lives.isEmpty()) {
-                lives = Map.of();
-                actions.accept(new ObserverAction.Lives(lives));
+        if (caughtUpNow != caughtUp) {
+            caughtUp = caughtUpNow;
+            counters.increment(caughtUpNow ? "level.reached" : "level.lost");
+            actions.accept(new ObserverAction.CaughtUpChanged(caughtUpNow));
+            if (!caughtUpNow && !observersByRegion.isEmpty()) {
+                observersByRegion = Map.of();
+                actions.accept(new ObserverAction.Lives(observersByRegion));
             }
         }
     }
 
-    private void tellOrders(Consumer<ObserverAction> actions) {
-        for (Order.Key key : untold) {
-            EffectiveOrder acting = SlotMerge.effectiveOrder(table.slot(key));
-            EffectiveOrder before = told.get(key);
-            if (acting.chosen() == null) {
-                told.remove(key);
+    private void publishOrders(Consumer<ObserverAction> actions) {
+        for (Order.Key key : unpublished) {
+            EffectiveOrder current = SlotMerge.effectiveOrder(table.slot(key));
+            EffectiveOrder before = published.get(key);
+            if (current.chosen() == null) {
+                published.remove(key);
                 if (before != null && before.payload() != null) {
-                    actions.accept(new ObserverAction.EffectiveOrderChanged(key, acting));
+                    actions.accept(new ObserverAction.EffectiveOrderChanged(key, current));
                 }
-            } else if (!acting.equals(before)) {
-                told.put(key, acting);
-                actions.accept(new ObserverAction.EffectiveOrderChanged(key, acting));
+            } else if (!current.equals(before)) {
+                published.put(key, current);
+                actions.accept(new ObserverAction.EffectiveOrderChanged(key, current));
             }
         }
-        untold.clear();
+        unpublished.clear();
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
@@ -5,27 +5,33 @@
 import walkpost.fleet.copy.EffectiveOrder;
 import walkpost.fleet.copy.Order;
 
-/** Something the owner of an {@link Observer} is to do, in the order given. */
+/** An action that the owner of an {@link Observer} carries out, in the order given. */
 public sealed interface ObserverAction {
-    /** Send a message to a voter; it may get lost. */
+    /** Send a message to a voter. The message may be lost. */
     record Send(String to, ObserveMessage message) implements ObserverAction { }
 
-    /** What stands for a key is this from now on. Comes once this copy was level for the first time, and then also while it is not. */
+    /**
+     * Act on this effective order for the key from now on. The first such action comes when the replica is in sync for the first time;
+     * later ones come also while it is not.
+     */
     record EffectiveOrderChanged(Order.Key key, EffectiveOrder acting) implements ObserverAction { }
 
-    /** The copy equals a level voter's, or control has been out of reach for too long to say so. What stood last goes on. */
+    /**
+     * Note that the replica equals that of a caught-up voter, or that the voters have been out of reach for too long to say so. The
+     * effective orders stay in force in either case.
+     */
     record CaughtUpChanged(boolean level) implements ObserverAction { }
 
-    /** How many observers live, by region, has changed; empty where that is no longer known. */
+    /** Note that the number of live observers by region has changed; it is empty if it is no longer known. */
     record Lives(Map<String, Integer> byRegion) implements ObserverAction {
         public Lives {
             byRegion = Map.copyOf(byRegion);
         }
     }
 
-    /** An order of this member's caller is acknowledged by a majority of the voters. */
+    /** Tell this member's caller that a majority of the voters has acknowledged the order. */
     record Acknowledged(String id, Order order) implements ObserverAction { }
 
-    /** An order of this member's caller has failed, with the reason. */
+    /** Tell this member's caller that the order has failed, and why. */
     record Refused(String id, FleetException why) implements ObserverAction { }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverCensus.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverCensus.java
@@ -4,15 +4,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What the voters tell each other of whom they feed: owns each one's last sum, and the voters' regions. */
+/** Counts the live observers over all voters: owns the latest counts that each other voter has sent, and the voters' regions. */
 final class ObserverCensus {
     private static final long PERIOD_US = 1_000_000;
 
-    private record Heard(Map<String, Integer> lives, long atUs) { }
+    private record ReceivedCounts(Map<String, Integer> observersByRegion, long receivedAtUs) { }
 
     private final ObserveSettings settings;
     private final String region;
-    private final Map<String, Heard> heard = new TreeMap<>();
+    private final Map<String, ReceivedCounts> countsByVoter = new TreeMap<>();
     private final Map<String, String> regions = new TreeMap<>();
     private long nextUs;
 
@@ -22,30 +22,33 @@
         regions.put(self, region);
     }
 
-    void take(long nowUs, String from, ObserveMessage.Sum sum) {
-        if (sum.lives().values().stream().allMatch(count -> count >= 0)) {
-            regions.put(from, sum.region() == null ? "" : sum.region());
-            heard.put(from, new Heard(sum.lives(), nowUs));
+    /** Stores another voter's region and counts; ignores a message with a negative count. */
+    void receive(long nowUs, String from, ObserveMessage.Sum counts) {
+        if (counts.lives().values().stream().allMatch(count -> count >= 0)) {
+            regions.put(from, counts.region() == null ? "" : counts.region());
+            countsByVoter.put(from, new ReceivedCounts(counts.lives(), nowUs));
         }
     }
 
-    void tick(long nowUs, Set<String> others, Map<String, Integer> own, MessageSender sender) {
+    /** Sends this voter's counts to the other voters, once in each period. */
+    void tick(long nowUs, Set<String> otherVoters, Map<String, Integer> ownCounts, MessageSender sender) {
         if (nowUs >= nextUs) {
             nextUs = nowUs + PERIOD_US;
-            var sum = new ObserveMessage.Sum(region, own);
-            others.forEach(to -> sender.send(to, sum));
+            var counts = new ObserveMessage.Sum(region, ownCounts);
+            otherVoters.forEach(to -> sender.send(to, counts));
         }
     }
 
+    /** Returns the regions of the voters that are known so far, by voter name. */
     Map<String, String> regions() {
         return regions;
     }
 
-    /** Returns how many observers live, by region, as the voters that were heard lately have counted. */
-    Map<String, Integer> lives(long nowUs, Map<String, Integer> own) {
-        Map<String, Integer> all = new TreeMap<>(own);
-        heard.values().stream().filter(sum -> nowUs - sum.atUs <= settings.silenceUs())
-                .forEach(sum -> sum.lives.forEach((where, count) -> all.merge(where, count, Integer::sum)));
+    /** Returns the number of live observers by region: this voter's own counts and those of the voters heard from lately. */
+    Map<String, Integer> observersByRegion(long nowUs, Map<String, Integer> ownCounts) {
+        Map<String, Integer> all = new TreeMap<>(ownCounts);
+        countsByVoter.values().stream().filter(received -> nowUs - received.receivedAtUs <= settings.silenceUs())
+                .forEach(received -> received.observersByRegion.forEach((name, count) -> all.merge(name, count, Integer::sum)));
         return all;
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/OrderForwarder.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OrderForwarder.java
@@ -11,50 +11,58 @@
 import walkpost.fleet.member.Life;
 
 /**
- * Operators' orders that were given to an observer: owns those that are not answered yet. Each goes to one voter, once more to the same
- * one where it says nothing, and then over the next, always with the same id: whoever carries it out, it is carried out once.
+ * Forwards operators' orders that were given to an observer to the voters: owns the orders that are not answered yet. Each order goes to
+ * one voter, once more to the same one if it does not answer, and then to the next, always with the same id, so that it is carried out
+ * once, whichever voter does so.
  *
- * <p>A refusal is passed on only once every voter that the order was sent to has refused every attempt, all in one life: as long as one
- * has not, it may still carry it out, or has done so before it died, and the caller is told that it is not certain.
+ * <p>A refusal is passed on to the caller only when every voter that received the order has refused every attempt, all of them in one
+ * life. As long as one has not, it may still carry out the order, or may have done so before it died, and the caller is told that the
+ * result is uncertain.
  */
 final class OrderForwarder {
-    private static final int TIMES_EACH = 2;
-    /** A voter that has the order on its way already, or is not level, is asked again after this; and nobody so short before the end. */
-    private static final long AGAIN_US = 200_000;
-    /** Attempts that a life may make in each millisecond before its numbers could meet those of the next one. */
-    private static final long PER_MS = 1_000;
+    private static final int ATTEMPTS_PER_VOTER = 2;
+    /**
+     * The delay after which a voter that already has the order under way, or is not caught up, is asked again. Within this time before the
+     * deadline only a first attempt is sent.
+     */
+    private static final long RETRY_DELAY_US = 200_000;
+    /** Attempt numbers that a life may use in each millisecond before they could collide with those of the next life. */
+    private static final long ATTEMPTS_PER_MS = 1_000;
     private static final String UNCERTAIN = FleetException.Uncertain.class.getSimpleName();
 
-    /** What one voter was sent of a call, and what it has answered. */
+    /** The attempts that one voter was sent of an order, and the ones that it has refused. */
     private static final class VoterAttempts {
-        private final long firstUs;
-        private long sent;
-        private long settled;
+        private final long firstSentUs;
+        private long lastSent;
+        private long lastRefused;
 
-        private VoterAttempts(long firstUs) {
-            this.firstUs = firstUs;
+        private VoterAttempts(long firstSentUs) {
+            this.firstSentUs = firstSentUs;
         }
 
-        /** Returns whether a voter that has run for so long has got all that was sent to it in one life; clocks may be 2% wrong each. */
-        private boolean oneLife(long nowUs, long aliveUs) {
-            return aliveUs - aliveUs / 16 >= nowUs - firstUs;
+        /**
+         * Returns whether a voter that has run for this time received all attempts in one life. The sixteenth that is taken off covers
+         * the clocks of both sides, which may each be wrong by 2%.
+         */
+        private boolean allInOneLife(long nowUs, long aliveUs) {
+            return aliveUs - aliveUs / 16 >= nowUs - firstSentUs;
         }
 
-        private boolean open() {
-            return settled < sent;
+        private boolean isOpen() {
+            return lastRefused < lastSent;
         }
     }
 
     private static final class ForwardedOrder {
         private final ObserverEvent.Propose order;
         private final long deadlineUs;
-        private final Map<String, VoterAttempts> tried = new TreeMap<>();
-        private int sent;
+        private final Map<String, VoterAttempts> attemptsByVoter = new TreeMap<>();
+        private int sentCount;
         private long nextUs;
-        private FleetException why;
-        /** No voter will make anything of it, one has said; but others were asked as well. */
+        private FleetException cause;
+        /** Whether a voter has refused the order for good, so that no other voter is asked; those asked before may still carry it out. */
         private boolean refused;
-        /** A voter has decided it, and could not say that a majority holds it. */
+        /** Whether a voter has decided the order but could not say that a majority holds it. */
         private boolean uncertain;
 
         private ForwardedOrder(ObserverEvent.Propose order, long nowUs, long deadlineUs) {
@@ -63,107 +71,109 @@
             this.deadlineUs = deadlineUs;
         }
 
-        /** Returns the voters that may still carry it out. */
-        private List<String> open() {
-            return tried.entrySet().stream().filter(each -> each.getValue().open()).map(Map.Entry::getKey).toList();
+        /** Returns the voters that may still carry out the order. */
+        private List<String> openVoters() {
+            return attemptsByVoter.entrySet().stream().filter(each -> each.getValue().isOpen()).map(Map.Entry::getKey).toList();
         }
 
-        private boolean firm() {
-            return why != null && !uncertain && open().isEmpty();
+        private boolean isCertainlyRefused() {
+            return cause != null && !uncertain && openVoters().isEmpty();
         }
 
-        /** Returns whom to send it to next. */
-        private String next(List<String> voters) {
-            List<String> among = new ArrayList<>(refused && !uncertain ? open() : voters);
-            return among.isEmpty() ? null : among.get(sent / TIMES_EACH % among.size());
+        /** Returns the voter to send the order to next, or null if there is none. */
+        private String nextVoter(List<String> voters) {
+            List<String> candidates = new ArrayList<>(refused && !uncertain ? openVoters() : voters);
+            return candidates.isEmpty() ? null : candidates.get(sentCount / ATTEMPTS_PER_VOTER % candidates.size());
         }
     }
 
     private final ObserveSettings settings;
     private final String self;
     private final ObserveCounters counters;
-    private final Map<String, ForwardedOrder> calls = new LinkedHashMap<>();
-    private long attempts;
+    private final Map<String, ForwardedOrder> forwardedOrders = new LinkedHashMap<>();
+    private long lastAttempt;
 
     OrderForwarder(ObserveSettings settings, Life self, ObserveCounters counters) {
         this.settings = settings;
         this.self = self.name();
         this.counters = counters;
-        attempts = Math.min(self.incarnation(), Long.MAX_VALUE / (2 * PER_MS)) * PER_MS;
+        lastAttempt = Math.min(self.incarnation(), Long.MAX_VALUE / (2 * ATTEMPTS_PER_MS)) * ATTEMPTS_PER_MS;
     }
 
-    /** Takes an order; one with an id that is on its way already gets the same answer. */
+    /** Accepts an order; one with the id of an order under way gets the same answer as that. */
     void propose(long nowUs, ObserverEvent.Propose order) {
-        calls.putIfAbsent(order.id(), new ForwardedOrder(order, nowUs, nowUs + settings.callUs()));
+        forwardedOrders.putIfAbsent(order.id(), new ForwardedOrder(order, nowUs, nowUs + settings.forwardTimeoutUs()));
     }
 
-    /** Sends what is due to the voters in turn, and gives up what is over. */
+    /** Sends the attempts that are due, to the voters in the given order, and fails the orders past their deadline. */
     void tick(long nowUs, List<String> voters, long awayUs, MessageSender sender, Consumer<ObserverAction> actions) {
-        for (ForwardedOrder call : List.copyOf(calls.values())) {
-            if (nowUs >= call.deadlineUs) {
+        for (ForwardedOrder forwarded : List.copyOf(forwardedOrders.values())) {
+            if (nowUs >= forwarded.deadlineUs) {
                 counters.increment("calls.failed");
-                refuse(call, why(call, awayUs), actions);
-            } else if (nowUs >= call.nextUs && (nowUs < call.deadlineUs - AGAIN_US || call.sent == 0)) {
-                send(nowUs, call, call.next(voters), sender);
+                refuse(forwarded, causeAtDeadline(forwarded, awayUs), actions);
+            } else if (nowUs >= forwarded.nextUs && (nowUs < forwarded.deadlineUs - RETRY_DELAY_US || forwarded.sentCount == 0)) {
+                send(nowUs, forwarded, forwarded.nextVoter(voters), sender);
             }
         }
     }
 
-    private void send(long nowUs, ForwardedOrder call, String to, MessageSender sender) {
+    private void send(long nowUs, ForwardedOrder forwarded, String to, MessageSender sender) {
         if (to == null) {
             return;
         }
-        ObserverEvent.Propose order = call.order;
-        call.tried.computeIfAbsent(to, name -> new VoterAttempts(nowUs)).sent = ++attempts;
-        call.sent++;
-        call.nextUs = nowUs + settings.repeatUs();
-        sender.send(to, new ObserveMessage.Call(order.key(), order.id(), order.replaces(), order.payload(), attempts));
+        ObserverEvent.Propose order = forwarded.order;
+        forwarded.attemptsByVoter.computeIfAbsent(to, name -> new VoterAttempts(nowUs)).lastSent = ++lastAttempt;
+        forwarded.sentCount++;
+        forwarded.nextUs = nowUs + settings.retransmitUs();
+        sender.send(to, new ObserveMessage.Call(order.key(), order.id(), order.replaces(), order.payload(), lastAttempt));
     }
 
-    void answer(long nowUs, String from, ObserveMessage.Answer answer, Consumer<ObserverAction> actions) {
-        ForwardedOrder call = calls.get(answer.id());
-        VoterAttempts tried = call == null ? null : call.tried.get(from);
-        if (tried == null) {
+    /** Takes a voter's reply; passes the result on once it is certain. */
+    void receiveReply(long nowUs, String from, ObserveMessage.Answer reply, Consumer<ObserverAction> actions) {
+        ForwardedOrder forwarded = forwardedOrders.get(reply.id());
+        VoterAttempts attempts = forwarded == null ? null : forwarded.attemptsByVoter.get(from);
+        if (attempts == null) {
             return;
         }
-        Order order = answer.order();
+        Order order = reply.order();
         if (order != null) {
-            if (order.id().equals(answer.id()) && order.key().equals(call.order.key())) {
-                calls.remove(answer.id());
-                actions.accept(new ObserverAction.Acknowledged(answer.id(), order));
+            if (order.id().equals(reply.id()) && order.key().equals(forwarded.order.key())) {
+                forwardedOrders.remove(reply.id());
+                actions.accept(new ObserverAction.Acknowledged(reply.id(), order));
             }
             return;
         }
-        if (answer.type() == null || answer.text() == null || answer.remedy() == null || answer.attempt() > tried.sent
-                || answer.attempt() <= tried.settled) {
+        if (reply.type() == null || reply.text() == null || reply.remedy() == null || reply.attempt() > attempts.lastSent
+                || reply.attempt() <= attempts.lastRefused) {
             return;
         }
-        if (tried.oneLife(nowUs, answer.aliveUs())) {
-            tried.settled = answer.attempt();
+        if (attempts.allInOneLife(nowUs, reply.aliveUs())) {
+            attempts.lastRefused = reply.attempt();
         }
-        call.uncertain |= answer.type().equals(UNCERTAIN);
-        if (!call.refused || !answer.again()) {
-            call.why = new FleetException.FromVoter(from, answer.type(), answer.text(), answer.remedy());
+        forwarded.uncertain |= reply.type().equals(UNCERTAIN);
+        if (!forwarded.refused || !reply.again()) {
+            forwarded.cause = new FleetException.FromVoter(from, reply.type(), reply.text(), reply.remedy());
         }
-        call.refused |= !answer.again();
-        if (call.refused && call.firm()) {
+        forwarded.refused |= !reply.again();
+        if (forwarded.refused && forwarded.isCertainlyRefused()) {
             counters.increment("calls.refused");
-            refuse(call, call.why, actions);
-        } else if (answer.again()) {
-            call.nextUs = Math.max(call.nextUs, nowUs + AGAIN_US);
+            refuse(forwarded, forwarded.cause, actions);
+        } else if (reply.again()) {
+            forwarded.nextUs = Math.max(forwarded.nextUs, nowUs + RETRY_DELAY_US);
         }
     }
 
-    private void refuse(ForwardedOrder call, FleetException why, Consumer<ObserverAction> actions) {
-        calls.remove(call.order.id());
-        actions.accept(new ObserverAction.Refused(call.order.id(), why));
+    private void refuse(ForwardedOrder forwarded, FleetException cause, Consumer<ObserverAction> actions) {
+        forwardedOrders.remove(forwarded.order.id());
+        actions.accept(new ObserverAction.Refused(forwarded.order.id(), cause));
     }
 
-    private FleetException why(ForwardedOrder call, long awayUs) {
-        if (call.sent == 0) {
-            return new FleetException.NoVoter(call.order.id(), self, Observer.words(awayUs));
+    private FleetException causeAtDeadline(ForwardedOrder forwarded, long awayUs) {
+        if (forwarded.sentCount == 0) {
+            return new FleetException.NoVoter(forwarded.order.id(), self, Observer.formatAge(awayUs));
         }
-        return call.firm() ? call.why
-                : new FleetException.Uncertain(call.order.id(), call.open().isEmpty() ? call.tried.keySet() : call.open());
+        return forwarded.isCertainlyRefused() ? forwarded.cause
+                : new FleetException.Uncertain(forwarded.order.id(),
+                        forwarded.openVoters().isEmpty() ? forwarded.attemptsByVoter.keySet() : forwarded.openVoters());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
@@ -9,57 +9,58 @@
 import walkpost.fleet.copy.MessageSizes;
 import walkpost.fleet.member.Life;
 
-/** What this observer has told of itself: owns its facts, and reports them to its feeds, which keep them for whoever asks. */
+/** The entries that this observer writes: owns them and reports them to the feeds, which keep them for queries. */
 final class OwnEntries {
-    /** So many facts an observer may have told at a time; one more is refused. */
-    static final int MOST = 64;
+    /** How many entries an observer may have at a time; one more is refused. */
+    static final int MAX_ENTRIES = 64;
 
-    private record OwnEntry(String payload, long version, long seenUs) { }
+    private record OwnEntry(String payload, long version, long writtenUs) { }
 
     private final Life self;
     private final ObserveCounters counters;
-    private final Map<Entry.Key, OwnEntry> facts = new LinkedHashMap<>();
-    private final Map<Entry.Key, OwnEntry> news = new LinkedHashMap<>();
-    private long version;
+    private final Map<Entry.Key, OwnEntry> entries = new LinkedHashMap<>();
+    private final Map<Entry.Key, OwnEntry> unreported = new LinkedHashMap<>();
+    private long lastVersion;
 
     OwnEntries(Life self, ObserveCounters counters) {
         this.self = self;
         this.counters = counters;
     }
 
+    /** Writes an entry; a null payload withdraws it. An entry that is too long, or one too many, is refused and counted. */
     void write(long nowUs, String topic, String subject, String payload) {
         var key = new Entry.Key(topic, subject, self.name());
-        if (MessageSizes.utf8Length(topic) > MessageSizes.TOPIC || MessageSizes.utf8Length(subject) > MessageSizes.SUBJECT || MessageSizes.utf8Length(payload) > MessageSizes.FACT
-                || !facts.containsKey(key) && facts.size() >= MOST) {
+        if (MessageSizes.utf8Length(topic) > MessageSizes.TOPIC || MessageSizes.utf8Length(subject) > MessageSizes.SUBJECT
+                || MessageSizes.utf8Length(payload) > MessageSizes.FACT || !entries.containsKey(key) && entries.size() >= MAX_ENTRIES) {
             counters.increment("facts.refused");
             return;
         }
-        var told = new OwnEntry(payload, ++version, nowUs);
-        facts.put(key, told);
-        news.put(key, told);
+        var entry = new OwnEntry(payload, ++lastVersion, nowUs);
+        entries.put(key, entry);
+        unreported.put(key, entry);
         if (payload == null) {
-            facts.remove(key);
+            entries.remove(key);
         }
     }
 
-    /** Sends what is new to all feeds. */
-    void tick(long nowUs, Collection<String> feeds, FeedSubscriptions ways, MessageSender sender) {
-        if (!news.isEmpty()) {
-            feeds.forEach(to -> report(nowUs, to, news, ways, sender));
-            news.clear();
+    /** Reports the entries written since the last tick to all feeds. */
+    void tick(long nowUs, Collection<String> feeds, FeedSubscriptions subscriptions, MessageSender sender) {
+        if (!unreported.isEmpty()) {
+            feeds.forEach(to -> report(nowUs, to, unreported, subscriptions, sender));
+            unreported.clear();
         }
     }
 
-    /** Sends all to one that has just become a feed. */
-    void all(long nowUs, String to, FeedSubscriptions ways, MessageSender sender) {
-        report(nowUs, to, facts, ways, sender);
+    /** Reports all entries to a voter that has just become a feed. */
+    void reportAll(long nowUs, String to, FeedSubscriptions subscriptions, MessageSender sender) {
+        report(nowUs, to, entries, subscriptions, sender);
     }
 
-    private void report(long nowUs, String to, Map<Entry.Key, OwnEntry> told, FeedSubscriptions ways, MessageSender sender) {
+    private void report(long nowUs, String to, Map<Entry.Key, OwnEntry> reported, FeedSubscriptions subscriptions, MessageSender sender) {
         List<Entry> all = new ArrayList<>();
-        // The way counts as well, by its round trip: an age is never too low.
-        told.forEach((key, fact) -> all.add(new Entry(key, self.incarnation(), fact.version, fact.payload,
-                nowUs - fact.seenUs + ways.roundTripUs(to))));
+        // The age includes the round-trip time to the feed, so that it is never too low.
+        reported.forEach((key, entry) -> all.add(new Entry(key, self.incarnation(), entry.version, entry.payload,
+                nowUs - entry.writtenUs + subscriptions.roundTripUs(to))));
         MessageSizes.split(all, MessageSizes::bytesOf).forEach(part -> sender.send(to, new ObserveMessage.Report(part)));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/ReportedEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ReportedEntries.java
@@ -9,15 +9,15 @@
 import walkpost.fleet.copy.MessageSizes;
 
 /**
- * What observers have reported to this voter: owns these facts, for those who ask. They are passed on to nobody. A writer's are bounded in
- * number, and what is old and whose writer is gone is forgotten.
+ * The entries that observers have reported to this voter: owns them and answers queries from them. They are not passed on to other
+ * voters. The number of entries of each writer is bounded, and old entries whose writer is gone are forgotten.
  */
 final class ReportedEntries {
-    /** For how long what a writer that has gone said is kept, so that operators still see it. */
-    private static final long GONE_US = 60_000_000;
-    private static final Comparator<Entry> NEWER = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
+    /** How long the entries of a writer that is gone are kept, so that operators can still see them. */
+    private static final long RETENTION_US = 60_000_000;
+    private static final Comparator<Entry> BY_VERSION = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
-    private record ReportedEntry(Entry fact, long seenUs) { }
+    private record ReportedEntry(Entry entry, long writtenUs) { }
 
     private final ObserveCounters counters;
     private final Map<String, Map<Entry.Key, ReportedEntry>> byWriter = new LinkedHashMap<>();
@@ -26,40 +26,42 @@
         this.counters = counters;
     }
 
-    void take(long nowUs, String from, List<Entry> facts) {
-        for (Entry fact : facts) {
-            boolean wrong = !fact.key().writer().equals(from) || fact.ageUs() < 0 || fact.ageUs() > Observer.NEVER_US
-                    || MessageSizes.utf8Length(fact.payload()) > MessageSizes.FACT;
-            Map<Entry.Key, ReportedEntry> own = wrong ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
-            if (wrong || !own.containsKey(fact.key()) && own.size() >= OwnEntries.MOST) {
+    /** Stores reported entries; refuses those of another writer, with an impossible age, too long, or one too many. */
+    void store(long nowUs, String from, List<Entry> entries) {
+        for (Entry entry : entries) {
+            boolean invalid = !entry.key().writer().equals(from) || entry.ageUs() < 0 || entry.ageUs() > Observer.NEVER_US
+                    || MessageSizes.utf8Length(entry.payload()) > MessageSizes.FACT;
+            Map<Entry.Key, ReportedEntry> ofWriter = invalid ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
+            if (invalid || !ofWriter.containsKey(entry.key()) && ofWriter.size() >= OwnEntries.MAX_ENTRIES) {
                 counters.increment("facts.refused");
                 continue;
             }
-            ReportedEntry known = own.get(fact.key());
-            if (known == null || NEWER.compare(fact, known.fact) > 0) {
-                // A new life withdraws what the one before said.
-                own.values().removeIf(entry -> entry.fact.incarnation() < fact.incarnation());
-                own.put(fact.key(), new ReportedEntry(fact, nowUs - fact.ageUs()));
+            ReportedEntry known = ofWriter.get(entry.key());
+            if (known == null || BY_VERSION.compare(entry, known.entry) > 0) {
+                // A new life of the writer withdraws the entries of its earlier lives.
+                ofWriter.values().removeIf(reported -> reported.entry.incarnation() < entry.incarnation());
+                ofWriter.put(entry.key(), new ReportedEntry(entry, nowUs - entry.ageUs()));
                 counters.increment("facts.reported");
             }
         }
     }
 
-    void forget(long nowUs, Subscribers attached) {
+    /** Forgets old entries that are withdrawn, or whose writer is not subscribed here. */
+    void forget(long nowUs, Subscribers subscribers) {
         byWriter.entrySet().removeIf(writer -> {
-            writer.getValue().values().removeIf(entry -> nowUs - entry.seenUs > GONE_US
-                    && (entry.fact.payload() == null || !attached.has(writer.getKey())));
+            writer.getValue().values().removeIf(reported -> nowUs - reported.writtenUs > RETENTION_US
+                    && (reported.entry.payload() == null || !subscribers.contains(writer.getKey())));
             return writer.getValue().isEmpty();
         });
     }
 
-    /** Returns what is on a topic and not withdrawn, ages counted to now. */
-    List<Entry> on(String topic, long nowUs) {
+    /** Returns the entries on a topic that are not withdrawn, with their ages now. */
+    List<Entry> onTopic(String topic, long nowUs) {
         List<Entry> found = new ArrayList<>();
-        byWriter.values().forEach(own -> own.values().forEach(entry -> {
-            Entry fact = entry.fact;
-            if (fact.key().topic().equals(topic) && fact.payload() != null) {
-                found.add(new Entry(fact.key(), fact.incarnation(), fact.version(), fact.payload(), nowUs - entry.seenUs));
+        byWriter.values().forEach(ofWriter -> ofWriter.values().forEach(reported -> {
+            Entry entry = reported.entry;
+            if (entry.key().topic().equals(topic) && entry.payload() != null) {
+                found.add(new Entry(entry.key(), entry.incarnation(), entry.version(), entry.payload(), nowUs - reported.writtenUs));
             }
         }));
         return found;
--- a/fleet/src/main/java/walkpost/fleet/observe/SlotSyncClient.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotSyncClient.java
@@ -15,29 +15,32 @@
 import walkpost.fleet.copy.Slot;
 
 /**
- * How an observer finds out what it misses, or has more of, than a level voter: owns the one comparison that is under way. Nodes that
- * differ are gone through some at a time, and what is missing is fetched some at a time, so that a voter that many observers compare
- * themselves with has little to do for each at once. A comparison that gets lost is begun anew with the next beat.
+ * The observer's side of the anti-entropy between observers and voters: finds the slots that the observer lacks, or holds more of than a
+ * caught-up voter, and owns the one comparison under way. A comparison covers some of the nodes that differ, and fetches some of the
+ * missing slots at a time, so that a voter with which many observers compare has little to do for each of them at once. If a
+ * message of a comparison is lost, the comparison restarts with the next heartbeat.
  */
 final class SlotSyncClient {
-    /** Without a step for so long it is given up. */
-    private static final long PATIENCE_US = 1_000_000;
-    private static final int NODES_AT_ONCE = 4;
-    private static final int KEYS_AT_ONCE = 128;
+    /** A comparison without progress for this time is abandoned. */
+    private static final long TIMEOUT_US = 1_000_000;
+    private static final int MAX_NODES_PER_COMPARISON = 4;
+    private static final int MAX_KEYS_PER_FETCH = 128;
 
     private final SlotTable table;
     private final ObserveCounters counters;
     private final long seed;
-    private String with;
+    /** The voter of the comparison under way; null if there is none. */
+    private String voter;
     private long seq;
-    private long movedUs;
-    private BitSet parts;
-    /** Whether the copy here has changed by it: then it is worth comparing again at once. */
-    private boolean gained;
-    private final Map<Order.Key, Long> theirs = new HashMap<>();
-    private final Set<Integer> leaves = new LinkedHashSet<>();
-    private final List<Order.Key> wanted = new ArrayList<>();
-    private final Set<Order.Key> asked = new HashSet<>();
+    private long lastProgressUs;
+    /** The parts of the digests that have arrived; null if none has. */
+    private BitSet partsReceived;
+    /** Whether the comparison has changed the replica, so that it pays to compare again at once. */
+    private boolean replicaChanged;
+    private final Map<Order.Key, Long> voterDigests = new HashMap<>();
+    private final Set<Integer> differingLeaves = new LinkedHashSet<>();
+    private final List<Order.Key> toFetch = new ArrayList<>();
+    private final Set<Order.Key> requested = new HashSet<>();
 
     SlotSyncClient(SlotTable table, ObserveCounters counters, long seed) {
         this.table = table;
@@ -45,19 +48,19 @@
         this.seed = seed;
     }
 
-    /** Begins, where nothing is under way: the nodes of a voter's tree differ from those here. */
-    void nodes(long nowUs, String voter, long beat, long[] nodes, MessageSender sender) {
-        if (nodes.length != HashTree.WIDTH || with != null && nowUs - movedUs < PATIENCE_US) {
+    /** Begins a comparison with a voter whose node hashes are given, unless one is under way. */
+    void begin(long nowUs, String from, long heartbeatSeq, long[] nodes, MessageSender sender) {
+        if (nodes.length != HashTree.WIDTH || voter != null && nowUs - lastProgressUs < TIMEOUT_US) {
             return;
         }
-        long[] mine = table.tree().nodes();
-        // Each observer begins somewhere else, so that what all of them have and the voters lost is offered in different parts.
-        int[] differing = new int[NODES_AT_ONCE];
+        long[] ownNodes = table.tree().nodes();
+        // Each observer starts at a different node, so that the observers together offer all parts of what the voters have lost.
+        int[] differing = new int[MAX_NODES_PER_COMPARISON];
         int count = 0;
         int first = (int) Math.floorMod(seed, (long) HashTree.WIDTH);
-        for (int i = 0; i < HashTree.WIDTH && count < NODES_AT_ONCE; i++) {
+        for (int i = 0; i < HashTree.WIDTH && count < MAX_NODES_PER_COMPARISON; i++) {
             int node = (first + i) % HashTree.WIDTH;
-            if (mine[node] != nodes[node]) {
+            if (ownNodes[node] != nodes[node]) {
                 differing[count++] = node;
             }
         }
@@ -65,117 +68,118 @@
             return;
         }
         end();
-        with = voter;
-        seq = beat;
-        movedUs = nowUs;
-        int[] asking = Arrays.copyOf(differing, count);
-        long[] under = new long[count * HashTree.WIDTH];
+        voter = from;
+        seq = heartbeatSeq;
+        lastProgressUs = nowUs;
+        int[] nodesToCompare = Arrays.copyOf(differing, count);
+        long[] leafHashes = new long[count * HashTree.WIDTH];
         for (int i = 0; i < count; i++) {
-            System.arraycopy(table.tree().leaves(asking[i]), 0, under, i * HashTree.WIDTH, HashTree.WIDTH);
+            System.arraycopy(table.tree().leaves(nodesToCompare[i]), 0, leafHashes, i * HashTree.WIDTH, HashTree.WIDTH);
         }
         counters.increment("compared.differing");
-        sender.send(voter, new ObserveMessage.Leaves(seq, asking, under));
+        sender.send(voter, new ObserveMessage.Leaves(seq, nodesToCompare, leafHashes));
     }
 
     /**
-     * What stands at the voter in the leaves that differ. Returns whether the comparison is over and the copy here has changed by it.
+     * Takes a part of the digests of the voter's slots. Returns whether the comparison is over and has changed the replica.
      *
-     * @param awayUs since when this copy is not known to be the fleet's. Where it never was, nobody would take what it has more of, and
-     *     it has acted on nothing of it: the voter's slots are taken in place of its own
+     * @param awayUs the time since the replica was last known to be in sync. If it never was, the voter's slots replace its own in the
+     *     leaves that differ, because no voter would accept an offer from it and the process has not acted on any of its slots
      */
-    boolean stamps(long nowUs, String from, ObserveMessage.Stamps stamps, long awayUs, MessageSender sender) {
-        if (!from.equals(with) || stamps.seq() != seq || !MessageSizes.isValidPart(stamps.part(), stamps.parts())) {
+    boolean receiveDigests(long nowUs, String from, ObserveMessage.Stamps digests, long awayUs, MessageSender sender) {
+        if (!from.equals(voter) || digests.seq() != seq || !MessageSizes.isValidPart(digests.part(), digests.parts())) {
             return false;
         }
-        movedUs = nowUs;
-        if (parts == null) {
-            parts = new BitSet();
+        lastProgressUs = nowUs;
+        if (partsReceived == null) {
+            partsReceived = new BitSet();
         }
-        parts.set(stamps.part());
-        for (int leaf : stamps.leaves()) {
+        partsReceived.set(digests.part());
+        for (int leaf : digests.leaves()) {
             if (leaf >= 0 && leaf < HashTree.WIDTH * HashTree.WIDTH) {
-                leaves.add(leaf);
+                differingLeaves.add(leaf);
             }
         }
-        stamps.stamps().forEach(stamp -> theirs.put(stamp.key(), stamp.hash()));
-        if (parts.cardinality() < stamps.parts()) {
+        digests.stamps().forEach(digest -> voterDigests.put(digest.key(), digest.hash()));
+        if (partsReceived.cardinality() < digests.parts()) {
             return false;
         }
-        theirs.forEach((key, hash) -> {
+        voterDigests.forEach((key, hash) -> {
             if (!hash.equals(table.hash(key))) {
-                wanted.add(key);
+                toFetch.add(key);
             }
         });
         if (awayUs < Observer.NEVER_US) {
-            offer(awayUs, sender);
+            offerSomeExtraSlots(awayUs, sender);
         } else {
-            wanted.forEach(table::drop);
-            List<Order.Key> more = more().stream().map(Slot::key).toList();
-            more.forEach(table::drop);
-            gained |= !more.isEmpty();
+            toFetch.forEach(table::drop);
+            List<Order.Key> extraKeys = extraSlots().stream().map(Slot::key).toList();
+            extraKeys.forEach(table::drop);
+            replicaChanged |= !extraKeys.isEmpty();
         }
-        return next(nowUs, sender);
+        return fetchNext(nowUs, sender);
     }
 
     /**
-     * Slots that were asked for have come and are joined, which changed the copy here or not. Returns whether the comparison is over and
-     * it was changed.
+     * Notes that requested slots have arrived and were merged, and whether that changed the replica. Returns whether the comparison is
+     * over and has changed the replica.
      */
-    boolean slots(long nowUs, String from, List<Slot> slots, boolean changed, MessageSender sender) {
-        if (!from.equals(with)) {
+    boolean receiveSlots(long nowUs, String from, List<Slot> slots, boolean changed, MessageSender sender) {
+        if (!from.equals(voter)) {
             return false;
         }
-        gained |= changed;
-        slots.forEach(slot -> asked.remove(slot.key()));
-        movedUs = nowUs;
-        return asked.isEmpty() && parts != null && next(nowUs, sender);
+        replicaChanged |= changed;
+        slots.forEach(slot -> requested.remove(slot.key()));
+        lastProgressUs = nowUs;
+        return requested.isEmpty() && partsReceived != null && fetchNext(nowUs, sender);
     }
 
-    /** What goes beyond the voter's slot, once that is joined into the one here, is offered in turn. */
-    void more(String to, long awayUs, List<Slot> joined, MessageSender sender) {
-        MessageSizes.split(joined, MessageSizes::bytesOf).forEach(part -> sender.send(to, new ObserveMessage.Offer(awayUs, part)));
+    /** Offers slots to a voter that holds less of them than this replica. */
+    void offer(String to, long awayUs, List<Slot> slots, MessageSender sender) {
+        MessageSizes.split(slots, MessageSizes::bytesOf).forEach(part -> sender.send(to, new ObserveMessage.Offer(awayUs, part)));
     }
 
-    private boolean next(long nowUs, MessageSender sender) {
-        if (wanted.isEmpty()) {
-            boolean better = gained;
+    /** Requests the next slots. Returns whether none are left and the comparison has changed the replica. */
+    private boolean fetchNext(long nowUs, MessageSender sender) {
+        if (toFetch.isEmpty()) {
+            boolean changed = replicaChanged;
             end();
-            return better;
+            return changed;
         }
-        List<Order.Key> asking = List.copyOf(wanted.subList(0, Math.min(KEYS_AT_ONCE, wanted.size())));
-        wanted.subList(0, asking.size()).clear();
-        asked.addAll(asking);
-        movedUs = nowUs;
-        sender.send(with, new ObserveMessage.Want(seq, asking));
+        List<Order.Key> keys = List.copyOf(toFetch.subList(0, Math.min(MAX_KEYS_PER_FETCH, toFetch.size())));
+        toFetch.subList(0, keys.size()).clear();
+        requested.addAll(keys);
+        lastProgressUs = nowUs;
+        sender.send(voter, new ObserveMessage.Want(seq, keys));
         return false;
     }
 
-    /** Offers what stands here and not at the voter: one message of it, as others may have the rest. */
-    private void offer(long awayUs, MessageSender sender) {
-        List<Slot> more = more();
-        if (!more.isEmpty()) {
-            List<List<Slot>> all = MessageSizes.split(more, MessageSizes::bytesOf);
-            sender.send(with, new ObserveMessage.Offer(awayUs, all.get((int) Math.floorMod(seed + seq, (long) all.size()))));
+    /** Offers one message of slots that the voter lacks; other observers may offer the rest. */
+    private void offerSomeExtraSlots(long awayUs, MessageSender sender) {
+        List<Slot> extra = extraSlots();
+        if (!extra.isEmpty()) {
+            List<List<Slot>> parts = MessageSizes.split(extra, MessageSizes::bytesOf);
+            sender.send(voter, new ObserveMessage.Offer(awayUs, parts.get((int) Math.floorMod(seed + seq, (long) parts.size()))));
             counters.increment("offers");
         }
     }
 
-    /** Returns what stands here, in the leaves that differ, and not at the voter. */
-    private List<Slot> more() {
-        List<Slot> more = new ArrayList<>();
-        for (int leaf : leaves) {
-            table.tree().entries(leaf).keySet().stream().filter(key -> !theirs.containsKey(key)).map(table::slot).forEach(more::add);
+    /** Returns the slots with an order in force that this replica holds in the leaves that differ, and the voter lacks. */
+    private List<Slot> extraSlots() {
+        List<Slot> extra = new ArrayList<>();
+        for (int leaf : differingLeaves) {
+            table.tree().entries(leaf).keySet().stream().filter(key -> !voterDigests.containsKey(key)).map(table::slot).forEach(extra::add);
         }
-        return more;
+        return extra;
     }
 
     private void end() {
-        with = null;
-        gained = false;
-        parts = null;
-        theirs.clear();
-        leaves.clear();
-        wanted.clear();
-        asked.clear();
+        voter = null;
+        replicaChanged = false;
+        partsReceived = null;
+        voterDigests.clear();
+        differingLeaves.clear();
+        toFetch.clear();
+        requested.clear();
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/SlotSyncServer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotSyncServer.java
@@ -11,17 +11,20 @@
 import walkpost.fleet.copy.Slot;
 import walkpost.fleet.copy.SlotMerge;
 
-/** What a voter answers to observers that compare themselves with it. Reads the table and keeps nothing of a comparison. */
+/**
+ * The voter's side of the anti-entropy between observers and voters: answers the observers' comparisons from the slot table, without
+ * state for a comparison.
+ */
 final class SlotSyncServer {
-    private static final long[] EQUAL = {};
-    private static final int MOST_KEYS = 256;
-    /** Messages of offers that are looked at in a second, from all observers: whatever is left out is offered again. */
-    private static final int OFFERS_PER_SECOND = 50;
+    private static final long[] NO_NODES = {};
+    private static final int MAX_KEYS_PER_FETCH = 256;
+    /** The bound on offer messages from all observers together; an offer beyond it is dropped, and the observer sends it again. */
+    private static final int MAX_OFFERS_PER_SECOND = 50;
 
     private final ObserveSettings settings;
     private final SlotTable table;
     private final ObserveCounters counters;
-    private final TokenBucket offers = new TokenBucket(OFFERS_PER_SECOND);
+    private final TokenBucket offerBucket = new TokenBucket(MAX_OFFERS_PER_SECOND);
 
     SlotSyncServer(ObserveSettings settings, SlotTable table, ObserveCounters counters) {
         this.settings = settings;
@@ -29,68 +32,73 @@
         this.counters = counters;
     }
 
-    boolean equal(long root) {
+    boolean isEqual(long root) {
         return root == table.tree().root();
     }
 
-    /** Returns the nodes that an asker with this root is to compare, none where nothing differs. */
-    long[] nodes(long root) {
-        return equal(root) ? EQUAL : table.tree().nodes();
+    /** Returns the node hashes for an observer with this root hash to compare; none if the root hashes are equal. */
+    long[] differingNodes(long root) {
+        return isEqual(root) ? NO_NODES : table.tree().nodes();
     }
 
-    void leaves(String from, ObserveMessage.Leaves asked, MessageSender sender) {
-        int nodes = asked.nodes().length;
-        if (nodes > HashTree.WIDTH || asked.leaves().length != nodes * HashTree.WIDTH) {
+    /** Compares an observer's leaf hashes and sends the digests of this voter's slots in the leaves that differ. */
+    void compareLeaves(String from, ObserveMessage.Leaves request, MessageSender sender) {
+        int nodes = request.nodes().length;
+        if (nodes > HashTree.WIDTH || request.leaves().length != nodes * HashTree.WIDTH) {
             counters.increment("dropped.malformed");
             return;
         }
         List<Integer> differing = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            int node = asked.nodes()[i];
+            int node = request.nodes()[i];
             if (node < 0 || node >= HashTree.WIDTH) {
                 counters.increment("dropped.malformed");
                 return;
             }
-            long[] mine = table.tree().leaves(node);
+            long[] ownLeaves = table.tree().leaves(node);
             for (int j = 0; j < HashTree.WIDTH; j++) {
-                if (mine[j] != asked.leaves()[i * HashTree.WIDTH + j]) {
+                if (ownLeaves[j] != request.leaves()[i * HashTree.WIDTH + j]) {
                     differing.add(node * HashTree.WIDTH + j);
                 }
             }
         }
-        List<ShardMessage.SlotDigest> stamps = new ArrayList<>();
-        differing.forEach(leaf -> table.tree().entries(leaf).forEach((key, hash) -> stamps.add(new ShardMessage.SlotDigest(key, hash))));
-        List<List<ShardMessage.SlotDigest>> parts = MessageSizes.split(stamps, stamp -> 32 + MessageSizes.bytesOf(stamp.key()));
+        List<ShardMessage.SlotDigest> digests = new ArrayList<>();
+        differing.forEach(leaf -> table.tree().entries(leaf).forEach((key, hash) -> digests.add(new ShardMessage.SlotDigest(key, hash))));
+        List<List<ShardMessage.SlotDigest>> parts = MessageSizes.split(digests, digest -> 32 + MessageSizes.bytesOf(digest.key()));
         if (parts.isEmpty()) {
             parts.add(List.of());
         }
-        int[] numbers = differing.stream().mapToInt(Integer::intValue).toArray();
+        int[] leafNumbers = differing.stream().mapToInt(Integer::intValue).toArray();
         for (int part = 0; part < parts.size(); part++) {
-            sender.send(from, new ObserveMessage.Stamps(asked.seq(), part, parts.size(), numbers, parts.get(part)));
+            sender.send(from, new ObserveMessage.Stamps(request.seq(), part, parts.size(), leafNumbers, parts.get(part)));
         }
     }
 
-    void want(String from, ObserveMessage.Want asked, long awayUs, MessageSender sender) {
+    /** Sends the requested slots. */
+    void sendSlots(String from, ObserveMessage.Want request, long awayUs, MessageSender sender) {
         List<Slot> slots = new ArrayList<>();
-        for (Order.Key key : asked.keys().subList(0, Math.min(MOST_KEYS, asked.keys().size()))) {
+        for (Order.Key key : request.keys().subList(0, Math.min(MAX_KEYS_PER_FETCH, request.keys().size()))) {
             slots.addAll(SlotMerge.split(table.slot(key), null));
         }
-        MessageSizes.split(slots, MessageSizes::bytesOf).forEach(part -> sender.send(from, new ObserveMessage.Slots(asked.seq(), awayUs, part)));
+        MessageSizes.split(slots, MessageSizes::bytesOf)
+                .forEach(part -> sender.send(from, new ObserveMessage.Slots(request.seq(), awayUs, part)));
     }
 
-    /** Returns those offered slots that hold more than this voter's; where it is the voter's that hold more, the observer gets them. */
-    List<Slot> offered(long nowUs, String from, ObserveMessage.Offer offer, long awayUs, MessageSender sender) {
-        boolean old = offer.awayUs() < 0 || offer.awayUs() > settings.removalUs() / 2;
-        if (old || !offers.take(nowUs, 1)) {
-            // What was removed while an old copy was away would come back with it.
-            counters.increment(old ? "offers.refused_old" : "offers.refused_many");
+    /** Returns the offered slots in which the observer holds more than this voter; sends the slots in which this voter holds more. */
+    List<Slot> receiveOffer(long nowUs, String from, ObserveMessage.Offer offer, long awayUs, MessageSender sender) {
+        boolean tooOld = offer.awayUs() < 0 || offer.awayUs() > settings.removalUs() / 2;
+        if (tooOld || !offerBucket.take(nowUs, 1)) {
+            // Orders that were removed while an old replica was away would come back with it.
+            counters.increment(tooOld ? "offers.refused_old" : "offers.refused_many");
             return List.of();
         }
-        Set<Slot> more = offer.slots().stream().filter(slot -> !SlotMerge.join(table.slot(slot.key()), slot).equals(table.slot(slot.key())))
+        Set<Slot> observerHasMore = offer.slots().stream()
+                .filter(slot -> !SlotMerge.join(table.slot(slot.key()), slot).equals(table.slot(slot.key())))
                 .collect(Collectors.toSet());
-        List<Slot> less = offer.slots().stream().map(slot -> SlotMerge.join(table.slot(slot.key()), slot))
-                .filter(joined -> offer.slots().stream().noneMatch(slot -> slot.equals(joined))).toList();
-        MessageSizes.split(less, MessageSizes::bytesOf).forEach(part -> sender.send(from, new ObserveMessage.Slots(0, awayUs, part)));
-        return List.copyOf(more);
+        List<Slot> voterHasMore = offer.slots().stream().map(slot -> SlotMerge.join(table.slot(slot.key()), slot))
+                .filter(merged -> offer.slots().stream().noneMatch(slot -> slot.equals(merged))).toList();
+        MessageSizes.split(voterHasMore, MessageSizes::bytesOf)
+                .forEach(part -> sender.send(from, new ObserveMessage.Slots(0, awayUs, part)));
+        return List.copyOf(observerHasMore);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/SlotTable.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotTable.java
@@ -13,15 +13,17 @@
 import walkpost.fleet.copy.SlotMerge;
 
 /**
- * The slots of all shards in one place, and the tree of hashes by which an observer and a voter compare them. Owns both.
+ * The slots of all shards in one table, and the hash tree by which an observer and a voter compare them. Owns both.
  *
- * <p>Only what stands is in the tree: removals are forgotten at times that differ between members, and would make them look different.
+ * <p>The tree contains only slots with an order in force: members forget removals at different times, so that removals in the tree would
+ * make equal replicas look different.
  */
 final class SlotTable {
     private final Map<Order.Key, Slot> slots = new LinkedHashMap<>();
     private final HashTree<Order.Key> tree = new HashTree<>();
-    private final Map<Order.Key, Long> removedUs = new HashMap<>();
+    private final Map<Order.Key, Long> removedSinceUs = new HashMap<>();
 
+    /** Returns the slot of a key, without history if the table has none. */
     Slot slot(Order.Key key) {
         Slot slot = slots.get(key);
         return slot == null ? Slot.empty(key) : slot;
@@ -35,23 +37,23 @@
         return slots.size();
     }
 
-    /** Returns the hash of what stands for a key, or null where nothing does. */
+    /** Returns the hash of the slot of a key, or null if no order is in force. */
     Long hash(Order.Key key) {
         return tree.hash(key, hashOf(key));
     }
 
-    /** Joins another copy's slot into this one's; returns whether that has changed anything here. Nothing ever goes back. */
-    boolean join(long nowUs, Slot other) {
-        Slot mine = slot(other.key());
-        Slot joined = SlotMerge.join(mine, other);
-        if (joined.equals(mine)) {
+    /** Merges another replica's slot into this one's, which never reverts an order. Returns whether that changed this slot. */
+    boolean merge(long nowUs, Slot other) {
+        Slot own = slot(other.key());
+        Slot merged = SlotMerge.join(own, other);
+        if (merged.equals(own)) {
             return false;
         }
-        put(nowUs, joined);
+        put(nowUs, merged);
         return true;
     }
 
-    /** Takes a slot as it is; an empty one is dropped. */
+    /** Replaces the slot of a key; a slot without history is dropped. */
     void put(long nowUs, Slot slot) {
         Order.Key key = slot.key();
         if (slot.hasNoHistory()) {
@@ -61,38 +63,39 @@
         slots.put(key, slot);
         if (SlotMerge.isRemoved(slot)) {
             tree.remove(key, hashOf(key));
-            removedUs.putIfAbsent(key, nowUs);
+            removedSinceUs.putIfAbsent(key, nowUs);
         } else {
             tree.put(key, hashOf(key), SlotMerge.hash(slot));
-            removedUs.remove(key);
+            removedSinceUs.remove(key);
         }
     }
 
-    /** Takes a key's slot out. */
+    /** Drops the slot of a key. */
     void drop(Order.Key key) {
         slots.remove(key);
         tree.remove(key, hashOf(key));
-        removedUs.remove(key);
+        removedSinceUs.remove(key);
     }
 
-    /** Forgets removals that are older than this. */
-    void forget(long nowUs, long olderUs) {
+    /** Forgets the removals of at least this age. */
+    void forget(long nowUs, long minAgeUs) {
         List<Order.Key> old = new ArrayList<>();
-        removedUs.forEach((key, since) -> {
-            if (nowUs - since >= olderUs) {
+        removedSinceUs.forEach((key, sinceUs) -> {
+            if (nowUs - sinceUs >= minAgeUs) {
                 old.add(key);
             }
         });
         old.forEach(this::drop);
     }
 
-    /** Empties the table; returns the keys that were in it. */
+    /** Empties the table and returns the keys that were in it. */
     List<Order.Key> clear() {
         List<Order.Key> keys = List.copyOf(slots.keySet());
         keys.forEach(this::drop);
         return keys;
     }
 
+    /** Returns the effective orders by key, including remembered removals. */
     Map<Order.Key, EffectiveOrder> effectiveOrders() {
         Map<Order.Key, EffectiveOrder> all = new LinkedHashMap<>();
         slots.forEach((key, slot) -> all.put(key, SlotMerge.effectiveOrder(slot)));
--- a/fleet/src/main/java/walkpost/fleet/observe/Subscribers.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Subscribers.java
@@ -13,22 +13,24 @@
 import walkpost.fleet.copy.Slot;
 
 /**
- * The observers that a voter feeds: owns who they are, what was pushed to each and not taken yet, and whether each was once found equal
- * to this voter since it lost track of it. Their number and the joins of a second are bounded; whoever is too many is told so at once, and
- * when to come again, each a little later than the one before.
+ * The observers that a voter feeds: owns who they are, which pushes to each are unacknowledged, and whether each observer's replica was
+ * equal to this voter's at some time after the latest push that may have been lost. Admission control bounds their number and the
+ * subscriptions in a second; an observer beyond the bounds is refused at once, with the time after which to try again, and observers
+ * refused in a row get increasing times.
  */
 final class Subscribers {
-    /** A push is repeated so often; then the observer's next beat has to find what it misses. */
-    private static final int TRIES = 3;
-    /** Pushes that one observer may have outstanding. */
-    private static final int OUTSTANDING = 64;
-    /** Slots that are pushed in a second; more of them are a voter that catches up, and found by comparing. */
-    private static final int PUSHED_PER_SECOND = 400;
-
-    /** Something pushed to one observer. */
+    /** How often a push is sent; after that the observer's next heartbeat finds what it lacks. */
+    private static final int MAX_PUSH_ATTEMPTS = 3;
+    private static final int MAX_PENDING_PUSHES_PER_OBSERVER = 64;
+    /** More changes than this in a second mean that the voter is catching up; the observers find them by comparison. */
+    private static final int MAX_PUSHED_SLOTS_PER_SECOND = 400;
+    /** Subscriptions that are refused within this time of each other count as refused in a row. */
+    private static final long REFUSED_IN_A_ROW_US = 1_000_000;
+
+    /** A push to one observer that is not acknowledged yet. */
     private static final class PendingPush {
         private final List<Order.Key> keys;
-        private int tries = 1;
+        private int attempts = 1;
         private long sentUs;
 
         private PendingPush(List<Order.Key> keys, long nowUs) {
@@ -40,10 +42,10 @@
     private static final class Subscriber {
         private final String region;
         private boolean primary;
-        private long heardUs;
-        /** Whether it holds all that stands here but for what is outstanding. */
-        private boolean equal;
-        private final Map<Long, PendingPush> outstanding = new TreeMap<>();
+        private long lastHeardUs;
+        /** Whether the observer holds everything that this voter holds, except for the pending pushes. */
+        private boolean inSync;
+        private final Map<Long, PendingPush> pendingPushes = new TreeMap<>();
 
         private Subscriber(String region) {
             this.region = region;
@@ -52,142 +54,142 @@
 
     private final ObserveSettings settings;
     private final ObserveCounters counters;
-    private final TokenBucket joins;
-    private final TokenBucket pushes = new TokenBucket(PUSHED_PER_SECOND);
-    private final Map<String, Subscriber> observers = new LinkedHashMap<>();
-    private long numbers;
-    private long refused;
-    private long refusedUs;
+    private final TokenBucket subscriptionBucket;
+    private final TokenBucket pushBucket = new TokenBucket(MAX_PUSHED_SLOTS_PER_SECOND);
+    private final Map<String, Subscriber> subscribers = new LinkedHashMap<>();
+    private long lastPushNumber;
+    private long refusedInARow;
+    private long lastRefusalUs;
 
     Subscribers(ObserveSettings settings, ObserveCounters counters) {
         this.settings = settings;
         this.counters = counters;
-        this.joins = new TokenBucket(settings.joinsPerSecond());
+        this.subscriptionBucket = new TokenBucket(settings.subscriptionsPerSecond());
     }
 
-    /** Takes an observer and returns null, or why not and when to come again. */
-    ObserveMessage.Later join(long nowUs, String from, ObserveMessage.Join join) {
-        Subscriber known = observers.get(from);
-        if (known == null && observers.size() >= settings.mostObservers()) {
+    /** Subscribes an observer and returns null, or returns the refusal. */
+    ObserveMessage.Later subscribe(long nowUs, String from, ObserveMessage.Join request) {
+        Subscriber known = subscribers.get(from);
+        if (known == null && subscribers.size() >= settings.maxObservers()) {
             counters.increment("joins.refused_full");
-            return new ObserveMessage.Later(join.seq(), ObserveMessage.Reason.FULL, settings.silenceUs() / 1_000);
+            return new ObserveMessage.Later(request.seq(), ObserveMessage.Reason.FULL, settings.silenceUs() / 1_000);
         }
-        if (known == null && !joins.take(nowUs, 1)) {
+        if (known == null && !subscriptionBucket.take(nowUs, 1)) {
             counters.increment("joins.refused_many");
-            // Who is refused in a row is called back in a row.
-            refused = nowUs - refusedUs > 1_000_000 ? 0 : refused + 1;
-            refusedUs = nowUs;
-            return new ObserveMessage.Later(join.seq(), ObserveMessage.Reason.TOO_MANY_AT_ONCE,
-                    1_000 + 1_000 * refused / settings.joinsPerSecond());
+            // Observers that are refused in a row get times to try again that follow each other at the admitted rate.
+            refusedInARow = nowUs - lastRefusalUs > REFUSED_IN_A_ROW_US ? 0 : refusedInARow + 1;
+            lastRefusalUs = nowUs;
+            return new ObserveMessage.Later(request.seq(), ObserveMessage.Reason.TOO_MANY_AT_ONCE,
+                    1_000 + 1_000 * refusedInARow / settings.subscriptionsPerSecond());
         }
-        var subscriber = new Subscriber(join.region() == null ? "" : join.region());
-        subscriber.primary = join.primary();
-        subscriber.heardUs = nowUs;
-        observers.put(from, subscriber);
+        var subscriber = new Subscriber(request.region() == null ? "" : request.region());
+        subscriber.primary = request.primary();
+        subscriber.lastHeardUs = nowUs;
+        subscribers.put(from, subscriber);
         return null;
     }
 
-    /** Takes a beat; returns false where the observer is not attached. */
-    boolean beat(long nowUs, String from, boolean primary, boolean equal) {
-        Subscriber subscriber = observers.get(from);
+    /** Records a heartbeat; returns false if the observer is not subscribed. */
+    boolean heartbeat(long nowUs, String from, boolean primary, boolean inSync) {
+        Subscriber subscriber = subscribers.get(from);
         if (subscriber == null) {
             return false;
         }
-        subscriber.heardUs = nowUs;
+        subscriber.lastHeardUs = nowUs;
         subscriber.primary = primary;
-        if (equal) {
-            subscriber.equal = true;
-            subscriber.outstanding.clear();
+        if (inSync) {
+            subscriber.inSync = true;
+            subscriber.pendingPushes.clear();
         }
         return true;
     }
 
-    void leave(String from) {
-        observers.remove(from);
+    void unsubscribe(String from) {
+        subscribers.remove(from);
     }
 
-    boolean has(String name) {
-        return observers.containsKey(name);
+    boolean contains(String name) {
+        return subscribers.containsKey(name);
     }
 
     int size() {
-        return observers.size();
+        return subscribers.size();
     }
 
-    /** This process stood still: what was said to it meanwhile may be unread, and silence does not count. */
-    void stoodStill(long gapUs) {
-        observers.values().forEach(subscriber -> subscriber.heardUs += gapUs);
+    /** Disregards the time in which this process was suspended, because messages of that time may still be unread. */
+    void processWasSuspended(long gapUs) {
+        subscribers.values().forEach(subscriber -> subscriber.lastHeardUs += gapUs);
     }
 
-    /** Sends what has changed to all, or, where that is more than is pushed, has them find it by comparing. */
+    /** Pushes changed slots to all observers; if there are too many to push, leaves the observers to find them by comparison. */
     void push(long nowUs, List<Slot> slots, long awayUs, MessageSender sender) {
-        if (observers.isEmpty() || slots.isEmpty()) {
+        if (subscribers.isEmpty() || slots.isEmpty()) {
             return;
         }
-        if (!pushes.take(nowUs, slots.size())) {
+        if (!pushBucket.take(nowUs, slots.size())) {
             counters.increment("pushes.left_out");
-            observers.values().forEach(subscriber -> subscriber.equal = false);
+            subscribers.values().forEach(subscriber -> subscriber.inSync = false);
             return;
         }
         for (List<Slot> part : MessageSizes.split(slots, MessageSizes::bytesOf)) {
-            long number = ++numbers;
+            long number = ++lastPushNumber;
             List<Order.Key> keys = part.stream().map(Slot::key).toList();
             var message = new ObserveMessage.Push(number, awayUs, part);
-            observers.forEach((name, subscriber) -> {
-                if (subscriber.outstanding.size() >= OUTSTANDING) {
-                    subscriber.outstanding.clear();
-                    subscriber.equal = false;
+            subscribers.forEach((name, subscriber) -> {
+                if (subscriber.pendingPushes.size() >= MAX_PENDING_PUSHES_PER_OBSERVER) {
+                    subscriber.pendingPushes.clear();
+                    subscriber.inSync = false;
                 }
-                subscriber.outstanding.put(number, new PendingPush(keys, nowUs));
+                subscriber.pendingPushes.put(number, new PendingPush(keys, nowUs));
                 sender.send(name, message);
             });
         }
     }
 
-    void taken(String from, long number) {
-        Subscriber subscriber = observers.get(from);
+    void pushAcknowledged(String from, long number) {
+        Subscriber subscriber = subscribers.get(from);
         if (subscriber != null) {
-            subscriber.outstanding.remove(number);
+            subscriber.pendingPushes.remove(number);
         }
     }
 
-    /** Forgets who was not heard for too long, and repeats what was not taken. */
+    /** Forgets the observers that have been silent for too long, and repeats the pushes that are not acknowledged. */
     void tick(long nowUs, SlotTable table, long awayUs, MessageSender sender) {
-        observers.entrySet().removeIf(each -> {
-            boolean silent = nowUs - each.getValue().heardUs > settings.silenceUs();
+        subscribers.entrySet().removeIf(each -> {
+            boolean silent = nowUs - each.getValue().lastHeardUs > settings.silenceUs();
             if (silent) {
                 counters.increment("observers.silent");
             }
             return silent;
         });
-        observers.forEach((name, subscriber) -> repeat(nowUs, name, subscriber, table, awayUs, sender));
+        subscribers.forEach((name, subscriber) -> repeatPushes(nowUs, name, subscriber, table, awayUs, sender));
     }
 
-    private void repeat(long nowUs, String name, Subscriber subscriber, SlotTable table, long awayUs, MessageSender sender) {
-        List<Long> given = new ArrayList<>();
-        subscriber.outstanding.forEach((number, push) -> {
-            if (nowUs - push.sentUs < settings.repeatUs()) {
+    private void repeatPushes(long nowUs, String name, Subscriber subscriber, SlotTable table, long awayUs, MessageSender sender) {
+        List<Long> abandoned = new ArrayList<>();
+        subscriber.pendingPushes.forEach((number, push) -> {
+            if (nowUs - push.sentUs < settings.retransmitUs()) {
                 return;
             }
-            if (push.tries >= TRIES) {
-                given.add(number);
+            if (push.attempts >= MAX_PUSH_ATTEMPTS) {
+                abandoned.add(number);
                 return;
             }
-            push.tries++;
+            push.attempts++;
             push.sentUs = nowUs;
             counters.increment("pushes.repeated");
             sender.send(name, new ObserveMessage.Push(number, awayUs, push.keys.stream().map(table::slot).toList()));
         });
-        if (!given.isEmpty()) {
-            given.forEach(subscriber.outstanding::remove);
-            subscriber.equal = false;
+        if (!abandoned.isEmpty()) {
+            abandoned.forEach(subscriber.pendingPushes::remove);
+            subscriber.inSync = false;
         }
     }
 
-    /** Returns the names of those counted here. */
+    /** Returns the names of the observers that this voter counts: those that have it as their primary feed. */
     Collection<String> counted() {
         Set<String> names = new LinkedHashSet<>();
-        observers.forEach((name, subscriber) -> {
+        subscribers.forEach((name, subscriber) -> {
             if (subscriber.primary) {
                 names.add(name);
             }
@@ -195,17 +197,17 @@
         return names;
     }
 
-    /** Returns whether an observer holds what stands for a key here. */
+    /** Returns whether an observer is known to hold this voter's slot for a key. */
     boolean holds(String name, Order.Key key) {
-        Subscriber subscriber = observers.get(name);
-        return subscriber != null && subscriber.equal
-                && subscriber.outstanding.values().stream().noneMatch(push -> push.keys.contains(key));
+        Subscriber subscriber = subscribers.get(name);
+        return subscriber != null && subscriber.inSync
+                && subscriber.pendingPushes.values().stream().noneMatch(push -> push.keys.contains(key));
     }
 
-    /** Returns how many are counted here, by region. */
-    Map<String, Integer> byRegion() {
+    /** Returns the number of observers that this voter counts, by region. */
+    Map<String, Integer> countedByRegion() {
         Map<String, Integer> all = new TreeMap<>();
-        observers.values().stream().filter(subscriber -> subscriber.primary)
+        subscribers.values().stream().filter(subscriber -> subscriber.primary)
                 .forEach(subscriber -> all.merge(subscriber.region, 1, Integer::sum));
         return all;
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/TokenBucket.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/TokenBucket.java
@@ -1,22 +1,22 @@
 package walkpost.fleet.observe;
 
-/** A token bucket: so many a second, and at most a second's worth at once. */
+/** A token bucket that refills at a constant rate and holds at most the tokens of one second. */
 final class TokenBucket {
-    private final double perSecond;
+    private final double tokensPerSecond;
     private double tokens;
-    private long filledUs = Long.MIN_VALUE;
+    private long refilledAtUs = Long.MIN_VALUE;
 
-    TokenBucket(double perSecond) {
-        this.perSecond = perSecond;
-        this.tokens = perSecond;
+    TokenBucket(double tokensPerSecond) {
+        this.tokensPerSecond = tokensPerSecond;
+        this.tokens = tokensPerSecond;
     }
 
-    /** Takes so many tokens, or none and returns false. */
+    /** Takes the given number of tokens, or takes none and returns false if there are fewer. */
     boolean take(long nowUs, int count) {
-        if (filledUs != Long.MIN_VALUE) {
-            tokens = Math.min(perSecond, tokens + perSecond * (nowUs - filledUs) / 1e6);
+        if (refilledAtUs != Long.MIN_VALUE) {
+            tokens = Math.min(tokensPerSecond, tokens + tokensPerSecond * (nowUs - refilledAtUs) / 1e6);
         }
-        filledUs = nowUs;
+        refilledAtUs = nowUs;
         if (tokens < count) {
             return false;
         }
--- a/fleet/src/test/java/walkpost/fleet/observe/World.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/ObserverNetwork.java
@@ -14,59 +14,65 @@
 import walkpost.fleet.copy.SlotMerge;
 import walkpost.fleet.member.Life;
 
-/** Feeds and observers on a simulated network without chance, in one thread: a message takes its way's time, or is lost where a test says so. */
-final class World {
-    static final long MS = 1_000;
-    static final long S = 1_000 * MS;
+/**
+ * Feeds and observers on a deterministic simulated network, in one thread: a message takes the one-way time of its sender or receiver, or
+ * is lost if the test says so.
+ */
+final class ObserverNetwork {
+    static final long MILLI_US = 1_000;
+    static final long SECOND_US = 1_000 * MILLI_US;
     static final Order.Key KEY = new Order.Key("placement", "l1");
-    private static final long TICK_US = 50 * MS;
+    private static final long TICK_US = 50 * MILLI_US;
 
-    /** A message on its way, or arrived. */
+    /** A message that was sent; it is in flight, has arrived or is lost. */
     record Sent(long atUs, String from, String to, ObserveMessage message) { }
 
-    private record Planned(long atUs, long number, Runnable work) { }
+    private record Delivery(long atUs, long number, Runnable work) { }
 
     final ObserveSettings settings;
     final Map<String, Feed> feeds = new TreeMap<>();
     final Map<String, Observer> observers = new TreeMap<>();
     final List<Sent> sent = new ArrayList<>();
-    final Map<String, List<ObserverAction>> told = new TreeMap<>();
-    final Map<String, List<FeedAction>> asked = new TreeMap<>();
-    /** One way, in microseconds, by the voter's name; 1 ms where none is given. */
-    final Map<String, Long> wayUs = new TreeMap<>();
-    Predicate<Sent> lost = message -> false;
+    /** The actions of each observer, except messages. */
+    final Map<String, List<ObserverAction>> actions = new TreeMap<>();
+    /** The actions of each feed, except messages. */
+    final Map<String, List<FeedAction>> feedActions = new TreeMap<>();
+    /** The one-way time in microseconds by the voter's name; 1 ms by default. */
+    final Map<String, Long> oneWayUs = new TreeMap<>();
+    Predicate<Sent> isLost = message -> false;
     private final Set<String> voters;
-    private final PriorityQueue<Planned> queue = new PriorityQueue<>(
-            Comparator.comparingLong(Planned::atUs).thenComparingLong(Planned::number));
-    private long numbers;
+    private final PriorityQueue<Delivery> queue = new PriorityQueue<>(
+            Comparator.comparingLong(Delivery::atUs).thenComparingLong(Delivery::number));
+    private long lastNumber;
     long nowUs;
 
-    World(String... voters) {
+    ObserverNetwork(String... voters) {
         this(ObserveSettings.defaults(), voters);
     }
 
-    World(ObserveSettings settings, String... voters) {
+    ObserverNetwork(ObserveSettings settings, String... voters) {
         this.settings = settings;
         this.voters = Set.of(voters);
     }
 
-    /** Adds a voter that is level. */
-    void voter(String name, String region) {
+    /** Adds a voter that is caught up, or restarts it with an empty replica. */
+    void addVoter(String name, String region) {
         feeds.put(name, new Feed(settings, name, region, voters));
-        asked.put(name, new ArrayList<>());
+        feedActions.put(name, new ArrayList<>());
         Set<String> others = new TreeSet<>(voters);
         others.remove(name);
         at(name, new FeedEvent.Voters(others));
         at(name, new FeedEvent.CaughtUpChanged(true));
     }
 
-    Observer observer(String name, String region) {
+    /** Adds an observer that sees all voters alive. */
+    Observer addObserver(String name, String region) {
         var observer = new Observer(settings, new Life(name, 1), region, voters, name.hashCode());
         observers.put(name, observer);
-        told.put(name, new ArrayList<>());
-        Map<String, Long> living = new TreeMap<>();
-        voters.forEach(voter -> living.put(voter, MS));
-        at(name, new ObserverEvent.Voters(living));
+        actions.put(name, new ArrayList<>());
+        Map<String, Long> live = new TreeMap<>();
+        voters.forEach(voter -> live.put(voter, MILLI_US));
+        at(name, new ObserverEvent.Voters(live));
         return observer;
     }
 
@@ -75,7 +81,7 @@
             if (action instanceof FeedAction.Send send) {
                 send(voter, send.to(), send.message());
             } else {
-                asked.get(voter).add(action);
+                feedActions.get(voter).add(action);
             }
         });
     }
@@ -85,17 +91,17 @@
             if (action instanceof ObserverAction.Send send) {
                 send(observer, send.to(), send.message());
             } else {
-                told.get(observer).add(action);
+                actions.get(observer).add(action);
             }
         });
     }
 
-    private void send(String from, String to, ObserveMessage message) {
-        var one = new Sent(nowUs, from, to, message);
-        sent.add(one);
-        if (!lost.test(one)) {
-            long way = wayUs.getOrDefault(from, wayUs.getOrDefault(to, MS));
-            queue.add(new Planned(nowUs + way, numbers++, () -> arrive(one)));
+    private void send(String from, String to, ObserveMessage content) {
+        var message = new Sent(nowUs, from, to, content);
+        sent.add(message);
+        if (!isLost.test(message)) {
+            long travelUs = oneWayUs.getOrDefault(from, oneWayUs.getOrDefault(to, MILLI_US));
+            queue.add(new Delivery(nowUs + travelUs, lastNumber++, () -> arrive(message)));
         }
     }
 
@@ -107,7 +113,7 @@
         }
     }
 
-    /** Lets time pass, with ticks. */
+    /** Advances the time, with ticks. */
     void run(long forUs) {
         long endUs = nowUs + forUs;
         for (long tickUs = nowUs + TICK_US; tickUs <= endUs; tickUs += TICK_US) {
@@ -120,39 +126,41 @@
 
     private void deliver(long untilUs) {
         while (!queue.isEmpty() && queue.peek().atUs <= untilUs) {
-            Planned next = queue.poll();
+            Delivery next = queue.poll();
             nowUs = next.atUs;
             next.work.run();
         }
         nowUs = untilUs;
     }
 
-    /** Has a voter's shards change; without a name, all voters'. */
-    void change(Slot slot, String... at) {
-        (at.length == 0 ? List.copyOf(feeds.keySet()) : List.of(at)).forEach(
+    /** Changes a slot in the shards of the given voters, or of all voters if none are given. */
+    void changeSlot(Slot slot, String... changedVoters) {
+        (changedVoters.length == 0 ? List.copyOf(feeds.keySet()) : List.of(changedVoters)).forEach(
                 voter -> at(voter, new FeedEvent.Changed(List.of(slot))));
     }
 
-    /** Returns the payloads that an observer was told to act on for a key, one after the other. */
-    List<String> acted(String observer, Order.Key key) {
+    /** Returns the payloads that an observer has published for a key, in order. */
+    List<String> publishedPayloads(String observer, Order.Key key) {
         List<String> payloads = new ArrayList<>();
-        for (ObserverAction action : told.get(observer)) {
-            if (action instanceof ObserverAction.EffectiveOrderChanged stands && stands.key().equals(key)) {
-                payloads.add(stands.acting().payload());
+        for (ObserverAction action : actions.get(observer)) {
+            if (action instanceof ObserverAction.EffectiveOrderChanged change && change.key().equals(key)) {
+                payloads.add(change.effectiveOrder().payload());
             }
         }
         return payloads;
     }
 
+    /** Returns all messages of a type that were sent so far, lost ones included. */
     <T extends ObserveMessage> List<T> messages(Class<T> type) {
         return sent.stream().map(Sent::message).filter(type::isInstance).map(type::cast).toList();
     }
 
-    <T extends ObserverAction> List<T> told(String observer, Class<T> type) {
-        return told.get(observer).stream().filter(type::isInstance).map(type::cast).toList();
+    /** Returns an observer's actions of a type. */
+    <T extends ObserverAction> List<T> actions(String observer, Class<T> type) {
+        return actions.get(observer).stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** Returns a slot in which these orders were decided one after the other, each replacing the one before. */
+    /** Returns a slot in which orders with these ids were decided one after the other, each replacing the one before. */
     static Slot slot(Order.Key key, String... ids) {
         Slot slot = Slot.empty(key);
         for (String id : ids) {
