--- a/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
@@ -1,6 +1,10 @@
 package walkpost.fleet.observe;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static walkpost.fleet.observe.ObserverNetwork.KEY;
+import static walkpost.fleet.observe.ObserverNetwork.MILLI_US;
+import static walkpost.fleet.observe.ObserverNetwork.SECOND_US;
+import static walkpost.fleet.observe.ObserverNetwork.slot;
 
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -19,35 +23,35 @@
 import walkpost.fleet.member.Life;
 
 class ObserverTest {
-    private static final String O = "o";
+    private static final String OBSERVER = "o";
 
-    /** Three level voters in two regions and one observer that has joined two of them. */
-    private static World joined() {
-        World world = new World("a", "b", "c");
-        world.voter("a", "north");
-        world.voter("b", "south");
-        world.voter("c", "south");
-        world.observer(O, "north");
-        world.run(8 * World.S);
-        assertThat(world.observers.get(O).feeds()).hasSize(2);
-        assertThat(world.observers.get(O).isCaughtUp()).isTrue();
-        return world;
+    /** Returns a network of three caught-up voters in two regions, and one observer that is subscribed to two of them. */
+    private static ObserverNetwork subscribedObserver() {
+        ObserverNetwork network = new ObserverNetwork("a", "b", "c");
+        network.addVoter("a", "north");
+        network.addVoter("b", "south");
+        network.addVoter("c", "south");
+        network.addObserver(OBSERVER, "north");
+        network.run(8 * SECOND_US);
+        assertThat(network.observers.get(OBSERVER).feeds()).hasSize(2);
+        assertThat(network.observers.get(OBSERVER).isCaughtUp()).isTrue();
+        return network;
     }
 
     @Test
-    void nearestVoterIsFirstAndTheOtherInAnotherRegion() {
-        World world = new World("a", "b", "c", "d");
-        world.voter("a", "north");
-        world.voter("b", "north");
-        world.voter("c", "south");
-        world.voter("d", "south");
-        world.wayUs.putAll(Map.of("a", 20 * World.MS, "b", World.MS, "c", 30 * World.MS, "d", 40 * World.MS));
+    void primaryFeedIsTheNearestVoterAndTheOtherIsInAnotherRegion() {
+        ObserverNetwork network = new ObserverNetwork("a", "b", "c", "d");
+        network.addVoter("a", "north");
+        network.addVoter("b", "north");
+        network.addVoter("c", "south");
+        network.addVoter("d", "south");
+        network.oneWayUs.putAll(Map.of("a", 20 * MILLI_US, "b", MILLI_US, "c", 30 * MILLI_US, "d", 40 * MILLI_US));
         for (int i = 0; i < 8; i++) {
-            world.observer("o" + i, "north");
+            network.addObserver("o" + i, "north");
         }
-        // Regions are learnt from the first voter: whoever chose before has changed with the second look.
-        world.run(200 * World.S);
-        world.observers.forEach((name, observer) -> {
+        // An observer learns the regions from its first feed; if it chose before that, it changes feeds at the next rebalancing.
+        network.run(200 * SECOND_US);
+        network.observers.forEach((name, observer) -> {
             assertThat(observer.feeds()).as(name).hasSize(2);
             assertThat(observer.feeds().get(0)).as(name).isEqualTo("b");
             assertThat(observer.feeds().get(1)).as(name).isIn("c", "d");
@@ -55,273 +59,276 @@
     }
 
     @Test
-    void observersAreSpreadEvenlyByTheirNames() {
-        World world = new World("a", "b", "c");
+    void observersAreSpreadEvenlyOverVotersAtTheSameDistance() {
+        ObserverNetwork network = new ObserverNetwork("a", "b", "c");
         for (String voter : List.of("a", "b", "c")) {
-            world.voter(voter, "");
+            network.addVoter(voter, "");
         }
         for (int i = 0; i < 240; i++) {
-            world.observer("o" + i, "");
+            network.addObserver("o" + i, "");
         }
-        world.run(40 * World.S);
-        Map<String, Integer> first = new TreeMap<>();
-        world.observers.values().forEach(observer -> first.merge(observer.feeds().get(0), 1, Integer::sum));
-        assertThat(first).hasSize(3);
-        assertThat(first.values()).allMatch(count -> count > 55 && count < 105);
-        assertThat(world.feeds.values()).allMatch(feed -> feed.figures().get("observers") > 120);
-        assertThat(world.feeds.get("a").lives(world.nowUs)).isEqualTo(Map.of("", 240));
+        network.run(40 * SECOND_US);
+        Map<String, Integer> observersByPrimary = new TreeMap<>();
+        network.observers.values().forEach(observer -> observersByPrimary.merge(observer.feeds().get(0), 1, Integer::sum));
+        assertThat(observersByPrimary).hasSize(3);
+        assertThat(observersByPrimary.values()).allMatch(count -> count > 55 && count < 105);
+        assertThat(network.feeds.values()).allMatch(feed -> feed.counters().get("observers") > 120);
+        assertThat(network.feeds.get("a").observersByRegion(network.nowUs)).isEqualTo(Map.of("", 240));
     }
 
     @Test
-    void voterThatRefusesIsLeftAloneForAsLongAsItSaysAndADrawnTimeMore() {
-        TreeSet<Long> waits = new TreeSet<>();
+    void observerWaitsWithJitterBeforeItAsksARefusingVoterAgain() {
+        TreeSet<Long> waitsUs = new TreeSet<>();
         for (int i = 0; i < 10; i++) {
             var observer = new Observer(ObserveSettings.defaults(), new Life("o" + i, 1), "", Set.of("a"), i);
             List<ObserveMessage> sent = new ArrayList<>();
             long refusedUs = -1;
             observer.handle(0, new ObserverEvent.Voters(Map.of("a", 1_000L)), action -> { });
-            for (long nowUs = 0; nowUs < 30 * World.S; nowUs += 50 * World.MS) {
+            for (long nowUs = 0; nowUs < 30 * SECOND_US; nowUs += 50 * MILLI_US) {
                 sent.clear();
-                observer.handle(nowUs, new ObserverEvent.Tick(), action -> add(action, sent));
+                observer.handle(nowUs, new ObserverEvent.Tick(), action -> addMessage(action, sent));
                 for (ObserveMessage message : List.copyOf(sent)) {
-                    if (message instanceof ObserveMessage.Beat beat) {
-                        observer.handle(nowUs, received("a", new ObserveMessage.Later(beat.seq(), ObserveMessage.Reason.UNKNOWN, 0)),
-                                action -> add(action, sent));
-                    } else if (message instanceof ObserveMessage.Join join && refusedUs < 0) {
+                    if (message instanceof ObserveMessage.Beat heartbeat) {
+                        observer.handle(nowUs, refusal(heartbeat.seq(), ObserveMessage.Reason.UNKNOWN, 0),
+                                action -> addMessage(action, sent));
+                    } else if (message instanceof ObserveMessage.Join request && refusedUs < 0) {
                         refusedUs = nowUs;
-                        observer.handle(nowUs, received("a", new ObserveMessage.Later(join.seq(), ObserveMessage.Reason.FULL, 3_000)),
-                                action -> add(action, sent));
+                        observer.handle(nowUs, refusal(request.seq(), ObserveMessage.Reason.FULL, 3_000),
+                                action -> addMessage(action, sent));
                     } else if (message instanceof ObserveMessage.Join) {
-                        waits.add(nowUs - refusedUs);
-                        nowUs = 30 * World.S;
+                        waitsUs.add(nowUs - refusedUs);
+                        nowUs = 30 * SECOND_US;
                     }
                 }
             }
         }
-        assertThat(waits.first()).isGreaterThanOrEqualTo(3 * World.S);
-        assertThat(waits.last()).isLessThan(13 * World.S);
-        assertThat(waits).as("drawn, so that they do not come together").hasSizeGreaterThan(5);
+        assertThat(waitsUs.first()).isGreaterThanOrEqualTo(3 * SECOND_US);
+        assertThat(waitsUs.last()).isLessThan(13 * SECOND_US);
+        assertThat(waitsUs).as("jitter, so that the observers do not ask at the same moment").hasSizeGreaterThan(5);
     }
 
     @Test
-    void whereNobodyAnswersProbesGetRarerUpToABound() {
-        World world = new World("a", "b");
-        world.observer(O, "");
-        world.run(120 * World.S);
-        List<Long> at = world.sent.stream().filter(message -> message.to().equals("a")).map(World.Sent::atUs).toList();
-        assertThat(at).hasSizeBetween(12, 40);
-        for (int i = 1; i < at.size(); i++) {
-            assertThat(at.get(i) - at.get(i - 1)).isBetween(500 * World.MS, 9 * World.S);
+    void probesBackOffUpToABoundIfNoVoterAnswers() {
+        ObserverNetwork network = new ObserverNetwork("a", "b");
+        network.addObserver(OBSERVER, "");
+        network.run(120 * SECOND_US);
+        List<Long> probeTimesUs = network.sent.stream().filter(message -> message.to().equals("a"))
+                .map(ObserverNetwork.Sent::atUs).toList();
+        assertThat(probeTimesUs).hasSizeBetween(12, 40);
+        for (int i = 1; i < probeTimesUs.size(); i++) {
+            assertThat(probeTimesUs.get(i) - probeTimesUs.get(i - 1)).isBetween(500 * MILLI_US, 9 * SECOND_US);
         }
-        assertThat(at.get(at.size() - 1) - at.get(at.size() - 2)).as("the last wait").isGreaterThan(4 * World.S);
+        assertThat(probeTimesUs.get(probeTimesUs.size() - 1) - probeTimesUs.get(probeTimesUs.size() - 2)).as("the last wait")
+                .isGreaterThan(4 * SECOND_US);
     }
 
     @Test
-    void silentVoterIsGivenUpForAnotherOne() {
-        World world = joined();
-        String silent = world.observers.get(O).feeds().get(0);
-        String stays = world.observers.get(O).feeds().get(1);
-        world.lost = message -> message.from().equals(silent) || message.to().equals(silent);
-        world.run(9 * World.S);
-        assertThat(world.observers.get(O).feeds()).hasSize(2).contains(stays).doesNotContain(silent);
-        assertThat(world.told(O, ObserverAction.CaughtUpChanged.class)).as("level all the time").hasSize(1);
+    void silentFeedIsReplacedByAnotherVoter() {
+        ObserverNetwork network = subscribedObserver();
+        String silent = network.observers.get(OBSERVER).feeds().get(0);
+        String other = network.observers.get(OBSERVER).feeds().get(1);
+        network.isLost = message -> message.from().equals(silent) || message.to().equals(silent);
+        network.run(9 * SECOND_US);
+        assertThat(network.observers.get(OBSERVER).feeds()).hasSize(2).contains(other).doesNotContain(silent);
+        assertThat(network.actions(OBSERVER, ObserverAction.CaughtUpChanged.class)).as("caught up all the time").hasSize(1);
     }
 
     @Test
-    void olderSlotChangesNothingWhoeverSendsIt() {
-        World world = joined();
-        world.change(World.slot(World.KEY, "o1", "o2"));
-        world.run(World.S);
-        Slot old = World.slot(World.KEY, "o1");
-        world.at(O, received("a", new ObserveMessage.Push(999, 0, List.of(old))));
-        world.at(O, received("b", new ObserveMessage.Slots(0, 0, List.of(old))));
-        world.change(old, "c");
-        world.run(5 * World.S);
-        assertThat(world.acted(O, World.KEY)).containsExactly("\"o2\"");
-        assertThat(world.observers.get(O).effectiveOrders().get(World.KEY).payload()).isEqualTo("\"o2\"");
+    void olderSlotNeverRevertsANewerOne() {
+        ObserverNetwork network = subscribedObserver();
+        network.changeSlot(slot(KEY, "o1", "o2"));
+        network.run(SECOND_US);
+        Slot old = slot(KEY, "o1");
+        network.at(OBSERVER, received("a", new ObserveMessage.Push(999, 0, List.of(old))));
+        network.at(OBSERVER, received("b", new ObserveMessage.Slots(0, 0, List.of(old))));
+        network.changeSlot(old, "c");
+        network.run(5 * SECOND_US);
+        assertThat(network.publishedPayloads(OBSERVER, KEY)).containsExactly("\"o2\"");
+        assertThat(network.observers.get(OBSERVER).effectiveOrders().get(KEY).payload()).isEqualTo("\"o2\"");
     }
 
     @Test
-    void voterThatIsNotLevelTellsNothingOfTheFleet() {
-        World world = new World("a", "b");
-        world.voter("a", "");
-        world.voter("b", "");
-        world.at("a", new FeedEvent.CaughtUpChanged(false));
-        world.at("b", new FeedEvent.CaughtUpChanged(false));
-        world.change(World.slot(World.KEY, "o1"));
-        world.observer(O, "");
-        world.run(10 * World.S);
-        assertThat(world.observers.get(O).feeds()).hasSize(2);
-        assertThat(world.observers.get(O).isCaughtUp()).isFalse();
-        assertThat(world.observers.get(O).controlAgeUs(world.nowUs)).isEqualTo(Observer.NEVER_US);
-        assertThat(world.told.get(O)).isEmpty();
+    void nothingIsPublishedFromVotersThatAreNotCaughtUp() {
+        ObserverNetwork network = new ObserverNetwork("a", "b");
+        network.addVoter("a", "");
+        network.addVoter("b", "");
+        network.at("a", new FeedEvent.CaughtUpChanged(false));
+        network.at("b", new FeedEvent.CaughtUpChanged(false));
+        network.changeSlot(slot(KEY, "o1"));
+        network.addObserver(OBSERVER, "");
+        network.run(10 * SECOND_US);
+        assertThat(network.observers.get(OBSERVER).feeds()).hasSize(2);
+        assertThat(network.observers.get(OBSERVER).isCaughtUp()).isFalse();
+        assertThat(network.observers.get(OBSERVER).controlAgeUs(network.nowUs)).isEqualTo(Observer.NEVER_US);
+        assertThat(network.actions.get(OBSERVER)).isEmpty();
     }
 
     @Test
-    void whatStoodGoesOnWhereControlIsGoneAndItsAgeIsTold() {
-        World world = joined();
-        world.change(World.slot(World.KEY, "o1"));
-        world.run(3 * World.S);
-        int told = world.told.get(O).size();
-        world.lost = message -> true;
-        world.run(60 * World.S);
-        Observer observer = world.observers.get(O);
-        assertThat(world.told.get(O).subList(told, world.told.get(O).size()))
+    void publishedOrdersStayInForceWithTheirAgeWhileNoVoterIsInReach() {
+        ObserverNetwork network = subscribedObserver();
+        network.changeSlot(slot(KEY, "o1"));
+        network.run(3 * SECOND_US);
+        int actionCount = network.actions.get(OBSERVER).size();
+        network.isLost = message -> true;
+        network.run(60 * SECOND_US);
+        Observer observer = network.observers.get(OBSERVER);
+        assertThat(network.actions.get(OBSERVER).subList(actionCount, network.actions.get(OBSERVER).size()))
                 .contains(new ObserverAction.CaughtUpChanged(false)).noneMatch(ObserverAction.EffectiveOrderChanged.class::isInstance);
         assertThat(observer.isCaughtUp()).isFalse();
-        assertThat(observer.effectiveOrders().get(World.KEY).payload()).isEqualTo("\"o1\"");
-        assertThat(observer.controlAgeUs(world.nowUs)).isBetween(60 * World.S, 63 * World.S);
-        world.lost = message -> false;
-        world.run(12 * World.S);
+        assertThat(observer.effectiveOrders().get(KEY).payload()).isEqualTo("\"o1\"");
+        assertThat(observer.controlAgeUs(network.nowUs)).isBetween(60 * SECOND_US, 63 * SECOND_US);
+        network.isLost = message -> false;
+        network.run(12 * SECOND_US);
         assertThat(observer.isCaughtUp()).isTrue();
-        assertThat(world.acted(O, World.KEY)).containsExactly("\"o1\"");
+        assertThat(network.publishedPayloads(OBSERVER, KEY)).containsExactly("\"o1\"");
     }
 
     @Test
-    void pushThatGotLostIsFoundByTheNextBeat() {
-        World world = joined();
-        world.lost = message -> message.message() instanceof ObserveMessage.Push;
-        world.change(World.slot(World.KEY, "o1"));
-        world.run(2_200 * World.MS);
-        assertThat(world.messages(ObserveMessage.Push.class)).isNotEmpty();
-        assertThat(world.acted(O, World.KEY)).containsExactly("\"o1\"");
+    void lostPushIsFoundByTheNextHeartbeat() {
+        ObserverNetwork network = subscribedObserver();
+        network.isLost = message -> message.message() instanceof ObserveMessage.Push;
+        network.changeSlot(slot(KEY, "o1"));
+        network.run(2_200 * MILLI_US);
+        assertThat(network.messages(ObserveMessage.Push.class)).isNotEmpty();
+        assertThat(network.publishedPayloads(OBSERVER, KEY)).containsExactly("\"o1\"");
     }
 
     @Test
-    void copyThatNeverWasLevelGivesWayToALevelVoters() {
-        World world = new World("a", "b");
-        world.voter("a", "");
-        world.voter("b", "");
-        world.at("a", new FeedEvent.CaughtUpChanged(false));
-        world.at("b", new FeedEvent.CaughtUpChanged(false));
-        world.observer(O, "");
-        world.run(4 * World.S);
-        // Pushed by voters that then lose all they held: nobody would take it from a copy that never was the fleet's.
+    void replicaThatWasNeverInSyncIsReplacedByACaughtUpVoters() {
+        ObserverNetwork network = new ObserverNetwork("a", "b");
+        network.addVoter("a", "");
+        network.addVoter("b", "");
+        network.at("a", new FeedEvent.CaughtUpChanged(false));
+        network.at("b", new FeedEvent.CaughtUpChanged(false));
+        network.addObserver(OBSERVER, "");
+        network.run(4 * SECOND_US);
+        // The voters push these orders and then lose them; no voter would accept them from a replica that was never in sync.
         Order.Key other = new Order.Key("placement", "l2");
-        world.change(World.slot(World.KEY, "o1"));
-        world.change(World.slot(other, "o2", "o3"));
-        world.run(World.S);
-        world.change(Slot.empty(World.KEY));
-        world.change(Slot.empty(other));
-        world.change(World.slot(other, "o4"));
-        world.at("a", new FeedEvent.CaughtUpChanged(true));
-        world.at("b", new FeedEvent.CaughtUpChanged(true));
-        world.run(6 * World.S);
-        assertThat(world.observers.get(O).isCaughtUp()).isTrue();
-        assertThat(world.acted(O, World.KEY)).isEmpty();
-        assertThat(world.acted(O, other)).containsExactly("\"o4\"");
+        network.changeSlot(slot(KEY, "o1"));
+        network.changeSlot(slot(other, "o2", "o3"));
+        network.run(SECOND_US);
+        network.changeSlot(Slot.empty(KEY));
+        network.changeSlot(Slot.empty(other));
+        network.changeSlot(slot(other, "o4"));
+        network.at("a", new FeedEvent.CaughtUpChanged(true));
+        network.at("b", new FeedEvent.CaughtUpChanged(true));
+        network.run(6 * SECOND_US);
+        assertThat(network.observers.get(OBSERVER).isCaughtUp()).isTrue();
+        assertThat(network.publishedPayloads(OBSERVER, KEY)).isEmpty();
+        assertThat(network.publishedPayloads(OBSERVER, other)).containsExactly("\"o4\"");
     }
 
     @Test
-    void removalThatVotersLostIsOfferedWhereWhatItEndedStandsAgain() {
-        World world = joined();
-        Slot stood = World.slot(World.KEY, "o1");
-        Slot removed = SlotMerge.withOrder(stood, new Order(World.KEY, "o2", 2, List.of("o1"), null, "\"o1\"", new Life("a", 1)));
-        world.change(removed);
-        world.run(World.S);
-        world.change(Slot.empty(World.KEY));
-        world.change(stood);
-        world.run(3 * World.S);
-        assertThat(world.asked.get("a")).contains(new FeedAction.Offer(List.of(removed)));
+    void removalThatTheVotersLostIsOfferedIfTheRemovedOrderIsInForceAgain() {
+        ObserverNetwork network = subscribedObserver();
+        Slot inForce = slot(KEY, "o1");
+        Slot removed = SlotMerge.withOrder(inForce, new Order(KEY, "o2", 2, List.of("o1"), null, "\"o1\"", new Life("a", 1)));
+        network.changeSlot(removed);
+        network.run(SECOND_US);
+        network.changeSlot(Slot.empty(KEY));
+        network.changeSlot(inForce);
+        network.run(3 * SECOND_US);
+        assertThat(network.feedActions.get("a")).contains(new FeedAction.Offer(List.of(removed)));
     }
 
     @Test
-    void comparisonThatChangesNothingIsNotBegunAnewAtOnce() {
-        World world = joined();
-        // What only the observer holds, and the voters' shards do not take: they have no room, say.
-        world.lost = message -> message.message() instanceof ObserveMessage.Taken;
-        world.at(O, received("a", new ObserveMessage.Push(1, 0, List.of(World.slot(World.KEY, "o1")))));
-        int before = world.messages(ObserveMessage.Beat.class).size();
-        world.run(10 * World.S);
-        assertThat(world.messages(ObserveMessage.Offer.class)).isNotEmpty();
-        assertThat(world.messages(ObserveMessage.Beat.class).size() - before).isLessThan(20);
+    void comparisonThatChangesNothingIsNotRepeatedAtOnce() {
+        ObserverNetwork network = subscribedObserver();
+        // The observer holds an order that the voters' shards do not accept, for example because they are full.
+        network.isLost = message -> message.message() instanceof ObserveMessage.Taken;
+        network.at(OBSERVER, received("a", new ObserveMessage.Push(1, 0, List.of(slot(KEY, "o1")))));
+        int before = network.messages(ObserveMessage.Beat.class).size();
+        network.run(10 * SECOND_US);
+        assertThat(network.messages(ObserveMessage.Offer.class)).isNotEmpty();
+        assertThat(network.messages(ObserveMessage.Beat.class).size() - before).isLessThan(20);
     }
 
     @Test
-    void refusalIsPassedOnOnlyWhenNoVoterThatWasAskedMayStillCarryItOut() {
-        World world = joined();
-        List<String> feeds = world.observers.get(O).feeds();
-        world.lost = message -> message.message() instanceof ObserveMessage.Answer && message.from().equals(feeds.get(0));
-        world.at(O, new ObserverEvent.Propose(World.KEY, "o1", "", "1"));
-        world.run(1_000 * World.MS);
-        assertThat(world.asked.get(feeds.get(0))).hasSize(1);
-        world.at(feeds.get(1), new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
-        world.run(100 * World.MS);
-        assertThat(world.told(O, ObserverAction.Refused.class)).as("the first one has not answered").isEmpty();
-        world.run(2 * World.S);
-        assertThat(world.told(O, ObserverAction.Refused.class)).hasSize(1).allMatch(
-                refused -> refused.why() instanceof FleetException.Uncertain && refused.why().getMessage().contains(feeds.get(0)));
+    void refusalIsPassedOnOnlyIfNoAskedVoterMayStillCarryOutTheOrder() {
+        ObserverNetwork network = subscribedObserver();
+        List<String> feeds = network.observers.get(OBSERVER).feeds();
+        network.isLost = message -> message.message() instanceof ObserveMessage.Answer && message.from().equals(feeds.get(0));
+        network.at(OBSERVER, new ObserverEvent.Propose(KEY, "o1", "", "1"));
+        network.run(1_000 * MILLI_US);
+        assertThat(network.feedActions.get(feeds.get(0))).hasSize(1);
+        network.at(feeds.get(1), new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
+        network.run(100 * MILLI_US);
+        assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).as("the first voter has not replied").isEmpty();
+        network.run(2 * SECOND_US);
+        assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).hasSize(1).allMatch(
+                refused -> refused.cause() instanceof FleetException.Uncertain && refused.cause().getMessage().contains(feeds.get(0)));
     }
 
     @Test
-    void voterThatBeganAnewMeanwhileCannotSpeakForItsFormerLife() {
-        World world = joined();
-        String first = world.observers.get(O).feeds().get(0);
-        world.lost = message -> message.message() instanceof ObserveMessage.Answer;
-        world.at(O, new ObserverEvent.Propose(World.KEY, "o1", "", "1"));
-        world.run(100 * World.MS);
-        assertThat(world.asked.get(first)).hasSize(1);
-        world.voter(first, "north");
-        world.lost = message -> message.message() instanceof ObserveMessage.Call && !message.to().equals(first);
-        world.run(500 * World.MS);
-        world.at(first, new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
-        world.run(3 * World.S);
-        assertThat(world.told(O, ObserverAction.Refused.class)).hasSize(1)
-                .allMatch(refused -> refused.why() instanceof FleetException.Uncertain);
+    void restartedVoterCannotRefuseForItsFormerLife() {
+        ObserverNetwork network = subscribedObserver();
+        String first = network.observers.get(OBSERVER).feeds().get(0);
+        network.isLost = message -> message.message() instanceof ObserveMessage.Answer;
+        network.at(OBSERVER, new ObserverEvent.Propose(KEY, "o1", "", "1"));
+        network.run(100 * MILLI_US);
+        assertThat(network.feedActions.get(first)).hasSize(1);
+        network.addVoter(first, "north");
+        network.isLost = message -> message.message() instanceof ObserveMessage.Call && !message.to().equals(first);
+        network.run(500 * MILLI_US);
+        network.at(first, new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
+        network.run(3 * SECOND_US);
+        assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).hasSize(1)
+                .allMatch(refused -> refused.cause() instanceof FleetException.Uncertain);
     }
 
     @Test
-    void refusalOfAllWhoWereAskedIsPassedOnAtOnceWithItsType() {
-        World world = joined();
-        String first = world.observers.get(O).feeds().get(0);
-        world.at(O, new ObserverEvent.Propose(World.KEY, "o1", "", "1"));
-        world.run(10 * World.MS);
-        world.at(first, new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
-        world.run(10 * World.MS);
-        assertThat(world.told(O, ObserverAction.Refused.class)).hasSize(1).allMatch(refused -> refused.id().equals("o1")
-                && refused.why() instanceof FleetException.FromVoter && refused.why().getMessage().contains("Overtaken"));
+    void refusalByAllAskedVotersIsPassedOnAtOnceWithItsType() {
+        ObserverNetwork network = subscribedObserver();
+        String first = network.observers.get(OBSERVER).feeds().get(0);
+        network.at(OBSERVER, new ObserverEvent.Propose(KEY, "o1", "", "1"));
+        network.run(10 * MILLI_US);
+        network.at(first, new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
+        network.run(10 * MILLI_US);
+        assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).hasSize(1).allMatch(refused -> refused.id().equals("o1")
+                && refused.cause() instanceof FleetException.FromVoter && refused.cause().getMessage().contains("Overtaken"));
     }
 
     @Test
-    void orderGoesOverAnotherVoterWhereTheFirstIsSilent() {
-        World world = joined();
-        List<String> feeds = world.observers.get(O).feeds();
-        world.lost = message -> message.to().equals(feeds.get(0));
-        world.at(O, new ObserverEvent.Propose(World.KEY, "o1", "", "1"));
-        world.run(900 * World.MS);
-        assertThat(world.asked.get(feeds.get(1))).containsExactly(new FeedAction.Propose(World.KEY, "o1", "", "1"));
-        Order order = World.slot(World.KEY, "o1").heads().get(0);
-        world.at(feeds.get(1), new FeedEvent.Acknowledged("o1", order));
-        world.run(100 * World.MS);
-        assertThat(world.told(O, ObserverAction.Acknowledged.class)).containsExactly(new ObserverAction.Acknowledged("o1", order));
-        world.run(5 * World.S);
-        assertThat(world.told(O, ObserverAction.Refused.class)).isEmpty();
+    void orderIsForwardedToAnotherVoterIfTheFirstIsSilent() {
+        ObserverNetwork network = subscribedObserver();
+        List<String> feeds = network.observers.get(OBSERVER).feeds();
+        network.isLost = message -> message.to().equals(feeds.get(0));
+        network.at(OBSERVER, new ObserverEvent.Propose(KEY, "o1", "", "1"));
+        network.run(900 * MILLI_US);
+        assertThat(network.feedActions.get(feeds.get(1))).containsExactly(new FeedAction.Propose(KEY, "o1", "", "1"));
+        Order order = slot(KEY, "o1").heads().get(0);
+        network.at(feeds.get(1), new FeedEvent.Acknowledged("o1", order));
+        network.run(100 * MILLI_US);
+        assertThat(network.actions(OBSERVER, ObserverAction.Acknowledged.class))
+                .containsExactly(new ObserverAction.Acknowledged("o1", order));
+        network.run(5 * SECOND_US);
+        assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).isEmpty();
     }
 
     @Test
     void orderThatReachesNoVoterIsRefused() {
-        World world = new World("a");
-        var observer = new Observer(ObserveSettings.defaults(), new Life(O, 1), "", Set.of("a"), 1);
-        List<ObserverAction> told = new ArrayList<>();
-        observer.handle(0, new ObserverEvent.Propose(World.KEY, "o1", "", "1"), told::add);
-        observer.handle(world.settings.callUs(), new ObserverEvent.Tick(), told::add);
-        assertThat(told).hasSize(1).first().isInstanceOfSatisfying(ObserverAction.Refused.class,
-                refused -> assertThat(refused.why()).isInstanceOf(FleetException.NoVoter.class));
+        ObserverNetwork network = new ObserverNetwork("a");
+        var observer = new Observer(ObserveSettings.defaults(), new Life(OBSERVER, 1), "", Set.of("a"), 1);
+        List<ObserverAction> actions = new ArrayList<>();
+        observer.handle(0, new ObserverEvent.Propose(KEY, "o1", "", "1"), actions::add);
+        observer.handle(network.settings.forwardTimeoutUs(), new ObserverEvent.Tick(), actions::add);
+        assertThat(actions).hasSize(1).first().isInstanceOfSatisfying(ObserverAction.Refused.class,
+                refused -> assertThat(refused.cause()).isInstanceOf(FleetException.NoVoter.class));
     }
 
     @Test
-    void garbledMessagesNeitherThrowNorChangeAnything() {
-        World world = joined();
-        world.change(World.slot(World.KEY, "o1"));
-        world.run(3 * World.S);
-        var before = world.observers.get(O).effectiveOrders();
-        int told = world.told.get(O).size();
-        ShardMessage.SlotDigest stamp = new ShardMessage.SlotDigest(World.KEY, 1);
+    void malformedMessagesNeitherThrowNorChangeAnything() {
+        ObserverNetwork network = subscribedObserver();
+        network.changeSlot(slot(KEY, "o1"));
+        network.run(3 * SECOND_US);
+        var before = network.observers.get(OBSERVER).effectiveOrders();
+        int actionCount = network.actions.get(OBSERVER).size();
+        ShardMessage.SlotDigest digest = new ShardMessage.SlotDigest(KEY, 1);
         for (long seq = -2; seq < 40; seq++) {
             for (int length : new int[] {1, 15, 17, 300}) {
                 for (ObserveMessage message : List.of(
                         new ObserveMessage.Echo(seq, true, -5, new long[length], Map.of()),
-                        new ObserveMessage.Stamps(seq, -1, -1, new int[] {-1, 256, Integer.MAX_VALUE}, List.of(stamp)),
+                        new ObserveMessage.Stamps(seq, -1, -1, new int[] {-1, 256, Integer.MAX_VALUE}, List.of(digest)),
                         new ObserveMessage.Stamps(seq, 3, 2, new int[length], List.of()),
                         new ObserveMessage.Stamps(seq, Integer.MAX_VALUE - 1, Integer.MAX_VALUE, new int[length], List.of()),
                         new ObserveMessage.Stamps(seq, 0, 0, new int[0], List.of()),
@@ -331,68 +338,70 @@
                         new ObserveMessage.Slots(seq, -1, List.of()),
                         new ObserveMessage.Taken(seq),
                         new ObserveMessage.Held(seq, -1, -1, List.of()))) {
-                    world.at(O, received("a", message));
-                    world.at(O, received("b", message));
-                    world.at(O, received("nobody", message));
+                    network.at(OBSERVER, received("a", message));
+                    network.at(OBSERVER, received("b", message));
+                    network.at(OBSERVER, received("nobody", message));
                 }
             }
         }
-        world.at(O, received("nobody", new ObserveMessage.Push(1, 0, List.of(World.slot(World.KEY, "o1", "o2")))));
-        assertThat(world.observers.get(O).effectiveOrders()).isEqualTo(before);
-        assertThat(world.told.get(O)).hasSize(told);
-        assertThat(world.observers.get(O).feeds()).hasSize(2);
-        world.change(World.slot(World.KEY, "o1", "o3"));
-        world.run(6 * World.S);
-        assertThat(world.acted(O, World.KEY)).containsExactly("\"o1\"", "\"o3\"");
-        assertThat(world.observers.get(O).isCaughtUp()).isTrue();
+        network.at(OBSERVER, received("nobody", new ObserveMessage.Push(1, 0, List.of(slot(KEY, "o1", "o2")))));
+        assertThat(network.observers.get(OBSERVER).effectiveOrders()).isEqualTo(before);
+        assertThat(network.actions.get(OBSERVER)).hasSize(actionCount);
+        assertThat(network.observers.get(OBSERVER).feeds()).hasSize(2);
+        network.changeSlot(slot(KEY, "o1", "o3"));
+        network.run(6 * SECOND_US);
+        assertThat(network.publishedPayloads(OBSERVER, KEY)).containsExactly("\"o1\"", "\"o3\"");
+        assertThat(network.observers.get(OBSERVER).isCaughtUp()).isTrue();
     }
 
     @Test
-    void garbledAnswersToItsOwnQuestionsNeitherThrowNorChangeAnything() {
-        World world = joined();
-        world.lost = message -> message.message() instanceof ObserveMessage.Push || message.message() instanceof ObserveMessage.Echo;
-        world.change(World.slot(World.KEY, "o1"));
-        world.run(2_200 * World.MS);
-        for (World.Sent beat : List.copyOf(world.sent)) {
-            if (beat.message() instanceof ObserveMessage.Beat asked) {
+    void malformedRepliesToOwnRequestsNeitherThrowNorChangeAnything() {
+        ObserverNetwork network = subscribedObserver();
+        network.isLost = message -> message.message() instanceof ObserveMessage.Push
+                || message.message() instanceof ObserveMessage.Echo;
+        network.changeSlot(slot(KEY, "o1"));
+        network.run(2_200 * MILLI_US);
+        for (ObserverNetwork.Sent sent : List.copyOf(network.sent)) {
+            if (sent.message() instanceof ObserveMessage.Beat request) {
                 for (int length : new int[] {1, HashTree.WIDTH - 1, HashTree.WIDTH + 1}) {
-                    world.at(O, received(beat.to(),
-                            new ObserveMessage.Echo(asked.seq(), true, Long.MIN_VALUE, new long[length], Map.of())));
+                    network.at(OBSERVER, received(sent.to(),
+                            new ObserveMessage.Echo(request.seq(), true, Long.MIN_VALUE, new long[length], Map.of())));
                 }
             }
         }
-        assertThat(world.acted(O, World.KEY)).isEmpty();
-        world.lost = message -> message.message() instanceof ObserveMessage.Stamps;
-        world.run(3 * World.S);
-        for (World.Sent leaves : List.copyOf(world.sent)) {
-            if (leaves.message() instanceof ObserveMessage.Leaves asked) {
+        assertThat(network.publishedPayloads(OBSERVER, KEY)).isEmpty();
+        network.isLost = message -> message.message() instanceof ObserveMessage.Stamps;
+        network.run(3 * SECOND_US);
+        for (ObserverNetwork.Sent sent : List.copyOf(network.sent)) {
+            if (sent.message() instanceof ObserveMessage.Leaves request) {
                 for (int[] part : new int[][] {{-1, 1}, {1, 1}, {0, -1}, {Integer.MAX_VALUE - 1, Integer.MAX_VALUE}}) {
-                    world.at(O, received(leaves.to(), new ObserveMessage.Stamps(asked.seq(), part[0], part[1], new int[] {-7, 999},
-                            List.of(new ShardMessage.SlotDigest(World.KEY, 0)))));
+                    network.at(OBSERVER, received(sent.to(), new ObserveMessage.Stamps(request.seq(), part[0], part[1],
+                            new int[] {-7, 999}, List.of(new ShardMessage.SlotDigest(KEY, 0)))));
                 }
             }
         }
-        assertThat(world.messages(ObserveMessage.Want.class)).isEmpty();
-        world.lost = message -> false;
-        world.run(4 * World.S);
-        assertThat(world.acted(O, World.KEY)).containsExactly("\"o1\"");
+        assertThat(network.messages(ObserveMessage.Want.class)).isEmpty();
+        network.isLost = message -> false;
+        network.run(4 * SECOND_US);
+        assertThat(network.publishedPayloads(OBSERVER, KEY)).containsExactly("\"o1\"");
     }
 
     @Test
-    void partOfImpossiblyManyCostsNoMemory() {
-        World world = joined();
-        world.lost = message -> message.message() instanceof ObserveMessage.Push || message.message() instanceof ObserveMessage.Stamps;
-        world.change(World.slot(World.KEY, "o1"));
-        world.run(2_500 * World.MS);
+    void digestPartOfAnImpossibleCountCostsNoMemory() {
+        ObserverNetwork network = subscribedObserver();
+        network.isLost = message -> message.message() instanceof ObserveMessage.Push
+                || message.message() instanceof ObserveMessage.Stamps;
+        network.changeSlot(slot(KEY, "o1"));
+        network.run(2_500 * MILLI_US);
         var memory = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         long before = memory.getCurrentThreadAllocatedBytes();
-        for (World.Sent leaves : List.copyOf(world.sent)) {
-            if (leaves.message() instanceof ObserveMessage.Leaves asked) {
-                world.at(O, received(leaves.to(),
-                        new ObserveMessage.Stamps(asked.seq(), Integer.MAX_VALUE - 1, Integer.MAX_VALUE, new int[0], List.of())));
+        for (ObserverNetwork.Sent sent : List.copyOf(network.sent)) {
+            if (sent.message() instanceof ObserveMessage.Leaves request) {
+                network.at(OBSERVER, received(sent.to(),
+                        new ObserveMessage.Stamps(request.seq(), Integer.MAX_VALUE - 1, Integer.MAX_VALUE, new int[0], List.of())));
             }
         }
-        assertThat(world.messages(ObserveMessage.Leaves.class)).isNotEmpty();
+        assertThat(network.messages(ObserveMessage.Leaves.class)).isNotEmpty();
         assertThat(memory.getCurrentThreadAllocatedBytes() - before).isLessThan(16 << 20);
     }
 
@@ -400,9 +409,13 @@
         return new ObserverEvent.Received(from, message);
     }
 
-    private static void add(ObserverAction action, List<ObserveMessage> to) {
+    private static ObserverEvent refusal(long seq, ObserveMessage.Reason reason, long retryMs) {
+        return received("a", new ObserveMessage.Later(seq, reason, retryMs));
+    }
+
+    private static void addMessage(ObserverAction action, List<ObserveMessage> messages) {
         if (action instanceof ObserverAction.Send send) {
-            to.add(send.message());
+            messages.add(send.message());
         }
     }
 }
