--- a/fleet/src/main/java/walkpost/fleet/observe/Feed.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Feed.java
@@ -95,12 +95,12 @@
     }
 
     /** Returns the number of live observers by region, as all voters together count them. */
-    public Map<String, Integer> lives(long nowUs) {
+    public Map<String, Integer> observersByRegion(long nowUs) {
         return observerCensus.observersByRegion(nowUs, subscribers.countedByRegion());
     }
 
     /** Returns the counters and gauges by name, such as {@code observers}. */
-    public Map<String, Long> figures() {
+    public Map<String, Long> counters() {
         Map<String, Long> all = counters.snapshot();
         all.put("observers", (long) subscribers.size());
         all.put("facts", (long) reportedEntries.size());
@@ -147,7 +147,7 @@
             boolean known = subscribers.heartbeat(nowUs, from, heartbeat.primary(), caughtUp && slotSync.isEqual(heartbeat.root()));
             sender.send(from, known
                     ? new ObserveMessage.Echo(heartbeat.seq(), caughtUp, awayUs(nowUs), slotSync.differingNodes(heartbeat.root()),
-                            lives(nowUs))
+                            observersByRegion(nowUs))
                     : new ObserveMessage.Later(heartbeat.seq(), ObserveMessage.Reason.UNKNOWN, 0));
         } else if (message instanceof ObserveMessage.Join request) {
             ObserveMessage.Later refusal = subscribers.subscribe(nowUs, from, request);
--- a/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
@@ -26,7 +26,7 @@
     private static final Comparator<Entry> BY_VERSION = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
     /** The entries that the voters returned, and the voters that have not replied in full. */
-    public record EntriesFound(List<Entry> facts, List<String> silent) { }
+    public record EntriesFound(List<Entry> entries, List<String> silent) { }
 
     /** How many of the counted members hold an order; names of some members that lack it; the voters that have not replied. */
     public record Coverage(int held, int of, List<String> lacking, List<String> silent) { }
--- a/fleet/src/main/java/walkpost/fleet/observe/Observer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Observer.java
@@ -117,12 +117,12 @@
     }
 
     /** Returns the number of live observers by region, as the voters report it; empty if it is not known. */
-    public Map<String, Integer> lives() {
+    public Map<String, Integer> observersByRegion() {
         return observersByRegion;
     }
 
     /** Returns the counters and gauges by name. */
-    public Map<String, Long> figures() {
+    public Map<String, Long> counters() {
         Map<String, Long> all = counters.snapshot();
         all.put("slots", (long) table.size());
         return all;
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
@@ -14,13 +14,13 @@
      * Act on this effective order for the key from now on. The first such action comes when the replica is in sync for the first time;
      * later ones come also while it is not.
      */
-    record EffectiveOrderChanged(Order.Key key, EffectiveOrder acting) implements ObserverAction { }
+    record EffectiveOrderChanged(Order.Key key, EffectiveOrder effectiveOrder) implements ObserverAction { }
 
     /**
      * Note that the replica equals that of a caught-up voter, or that the voters have been out of reach for too long to say so. The
      * effective orders stay in force in either case.
      */
-    record CaughtUpChanged(boolean level) implements ObserverAction { }
+    record CaughtUpChanged(boolean caughtUp) implements ObserverAction { }
 
     /** Note that the number of live observers by region has changed; it is empty if it is no longer known. */
     record Lives(Map<String, Integer> byRegion) implements ObserverAction {
@@ -33,5 +33,5 @@
     record Acknowledged(String id, Order order) implements ObserverAction { }
 
     /** Tell this member's caller that the order has failed, and why. */
-    record Refused(String id, FleetException why) implements ObserverAction { }
+    record Refused(String id, FleetException cause) implements ObserverAction { }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/ReportedEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ReportedEntries.java
@@ -30,7 +30,7 @@
     void store(long nowUs, String from, List<Entry> entries) {
         for (Entry entry : entries) {
             boolean invalid = !entry.key().writer().equals(from) || entry.ageUs() < 0 || entry.ageUs() > Observer.NEVER_US
-                    || MessageSizes.utf8Length(entry.payload()) > MessageSizes.FACT;
+                    || MessageSizes.utf8Length(entry.payload()) > MessageSizes.MAX_ENTRY_PAYLOAD_BYTES;
             Map<Entry.Key, ReportedEntry> ofWriter = invalid ? null : byWriter.computeIfAbsent(from, name -> new LinkedHashMap<>());
             if (invalid || !ofWriter.containsKey(entry.key()) && ofWriter.size() >= OwnEntries.MAX_ENTRIES) {
                 counters.increment("facts.refused");
--- a/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
@@ -146,13 +146,13 @@
     }
 
     Map<String, Integer> lives() {
-        return turns.read(feed::lives);
+        return turns.read(feed::observersByRegion);
     }
 
     /** Returns counts by name; what shards have as well, under a name of its own. */
     Map<String, Long> figures() {
         var all = new HashMap<String, Long>();
-        turns.read(nowUs -> feed.figures()).forEach((name, count) -> all.put(
+        turns.read(nowUs -> feed.counters()).forEach((name, count) -> all.put(
                 name.equals("observers") || name.startsWith("dropped.") ? name : "feed." + name, count));
         return all;
     }
--- a/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
@@ -67,11 +67,11 @@
                 sender.send(send.to(), Ages.aged(send.message(), waitedUs));
             }
         } else if (action instanceof ObserverAction.EffectiveOrderChanged stands) {
-            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.order()), () -> {
-                if (stands.order().payload() == null && stands.order().rivals().isEmpty()) {
+            tell(listener -> listener.effectiveOrderChanged(stands.key(), stands.effectiveOrder()), () -> {
+                if (stands.effectiveOrder().payload() == null && stands.effectiveOrder().rivals().isEmpty()) {
                     stood.remove(stands.key());
                 } else {
-                    stood.put(stands.key(), stands.order());
+                    stood.put(stands.key(), stands.effectiveOrder());
                 }
             });
         } else if (action instanceof ObserverAction.CaughtUpChanged now) {
@@ -84,7 +84,7 @@
                     "version", order.version());
             callers.acknowledged(acknowledged.id(), order);
         } else if (action instanceof ObserverAction.Refused refused) {
-            FleetException why = refused.why();
+            FleetException why = refused.cause();
             Log.warn("order_refused", "id", refused.id(), "error", why.getClass().getSimpleName(), "reason", why.getMessage());
             callers.refused(refused.id(), why);
         }
@@ -171,11 +171,11 @@
     }
 
     Map<String, Integer> lives() {
-        return turns.read(nowUs -> observer.lives());
+        return turns.read(nowUs -> observer.observersByRegion());
     }
 
     Map<String, Long> figures() {
-        return turns.read(nowUs -> observer.figures());
+        return turns.read(nowUs -> observer.counters());
     }
 
     CompletionStage<TopicEntries> entries(String topic) {
--- a/fleet/src/test/java/walkpost/fleet/observe/FeedTest.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/FeedTest.java
@@ -108,9 +108,9 @@
         run(4 * SECOND_US);
         heartbeat("o1");
         run(5 * SECOND_US);
-        assertThat(feed.lives(nowUs)).isEqualTo(Map.of("north", 1));
+        assertThat(feed.observersByRegion(nowUs)).isEqualTo(Map.of("north", 1));
         run(SECOND_US);
-        assertThat(feed.lives(nowUs)).isEmpty();
+        assertThat(feed.observersByRegion(nowUs)).isEmpty();
         assertThat(replyTo("o1", new ObserveMessage.Beat(5, true, 0, 0)))
                 .isInstanceOfSatisfying(ObserveMessage.Later.class,
                         refusal -> assertThat(refusal.why()).isEqualTo(ObserveMessage.Reason.UNKNOWN));
@@ -210,7 +210,7 @@
         handle(new FeedEvent.Changed(List.of(slot(KEY, "x1"))));
         run(2 * SECOND_US);
         heartbeat("o1");
-        Map<String, Integer> countsBefore = feed.lives(nowUs);
+        Map<String, Integer> countsBefore = feed.observersByRegion(nowUs);
         long[] leavesOfOneNode = new long[HashTree.WIDTH];
         for (ObserveMessage message : List.of(
                 new ObserveMessage.Leaves(-1, new int[] {0}, new long[0]),
@@ -236,15 +236,15 @@
             assertThat(handle(new FeedEvent.Received("o1", message))).as("%s", message).isEmpty();
             assertThat(handle(new FeedEvent.Received("b", message))).as("%s", message).isEmpty();
         }
-        assertThat(feed.lives(nowUs)).isEqualTo(Map.of("north", 8));
+        assertThat(feed.observersByRegion(nowUs)).isEqualTo(Map.of("north", 8));
         assertThat(countsBefore).isEqualTo(Map.of("north", 1));
-        assertThat(feed.figures()).containsEntry("facts", 0L).containsEntry("slots", 1L).containsEntry("observers", 1L);
+        assertThat(feed.counters()).containsEntry("facts", 0L).containsEntry("slots", 1L).containsEntry("observers", 1L);
     }
 
     @Test
     void observerMessagesFromVotersAndVoterMessagesFromOthersAreDropped() {
         assertThat(handle(new FeedEvent.Received("b", new ObserveMessage.Join(1, "north", true)))).isEmpty();
         assertThat(handle(new FeedEvent.Received("o1", new ObserveMessage.Sum("north", Map.of("north", 70))))).isEmpty();
-        assertThat(feed.lives(nowUs)).isEmpty();
+        assertThat(feed.observersByRegion(nowUs)).isEmpty();
     }
 }
--- a/fleet/src/test/java/walkpost/fleet/observe/ObserverNetwork.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/ObserverNetwork.java
@@ -144,7 +144,7 @@
         List<String> payloads = new ArrayList<>();
         for (ObserverAction action : actions.get(observer)) {
             if (action instanceof ObserverAction.EffectiveOrderChanged change && change.key().equals(key)) {
-                payloads.add(change.acting().payload());
+                payloads.add(change.effectiveOrder().payload());
             }
         }
         return payloads;
--- a/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
@@ -72,8 +72,8 @@
         network.observers.values().forEach(observer -> observersByPrimary.merge(observer.feeds().get(0), 1, Integer::sum));
         assertThat(observersByPrimary).hasSize(3);
         assertThat(observersByPrimary.values()).allMatch(count -> count > 55 && count < 105);
-        assertThat(network.feeds.values()).allMatch(feed -> feed.figures().get("observers") > 120);
-        assertThat(network.feeds.get("a").lives(network.nowUs)).isEqualTo(Map.of("", 240));
+        assertThat(network.feeds.values()).allMatch(feed -> feed.counters().get("observers") > 120);
+        assertThat(network.feeds.get("a").observersByRegion(network.nowUs)).isEqualTo(Map.of("", 240));
     }
 
     @Test
@@ -256,7 +256,7 @@
         assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).as("the first voter has not replied").isEmpty();
         network.run(2 * SECOND_US);
         assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).hasSize(1).allMatch(
-                refused -> refused.why() instanceof FleetException.Uncertain && refused.why().getMessage().contains(feeds.get(0)));
+                refused -> refused.cause() instanceof FleetException.Uncertain && refused.cause().getMessage().contains(feeds.get(0)));
     }
 
     @Test
@@ -273,7 +273,7 @@
         network.at(first, new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
         network.run(3 * SECOND_US);
         assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).hasSize(1)
-                .allMatch(refused -> refused.why() instanceof FleetException.Uncertain);
+                .allMatch(refused -> refused.cause() instanceof FleetException.Uncertain);
     }
 
     @Test
@@ -285,7 +285,7 @@
         network.at(first, new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
         network.run(10 * MILLI_US);
         assertThat(network.actions(OBSERVER, ObserverAction.Refused.class)).hasSize(1).allMatch(refused -> refused.id().equals("o1")
-                && refused.why() instanceof FleetException.FromVoter && refused.why().getMessage().contains("Overtaken"));
+                && refused.cause() instanceof FleetException.FromVoter && refused.cause().getMessage().contains("Overtaken"));
     }
 
     @Test
@@ -313,7 +313,7 @@
         observer.handle(0, new ObserverEvent.Propose(KEY, "o1", "", "1"), actions::add);
         observer.handle(network.settings.forwardTimeoutUs(), new ObserverEvent.Tick(), actions::add);
         assertThat(actions).hasSize(1).first().isInstanceOfSatisfying(ObserverAction.Refused.class,
-                refused -> assertThat(refused.why()).isInstanceOf(FleetException.NoVoter.class));
+                refused -> assertThat(refused.cause()).isInstanceOf(FleetException.NoVoter.class));
     }
 
     @Test
--- a/fleet/src/test/java/walkpost/fleet/scale/Observed.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Observed.java
@@ -206,9 +206,9 @@
         Map<String, Long> observers = new TreeMap<>();
         world.running(host -> true).forEach(host -> {
             if (host.process() instanceof Voter voter) {
-                voter.feed().figures().forEach((figure, count) -> feeds.merge(figure, count, Long::sum));
+                voter.feed().counters().forEach((figure, count) -> feeds.merge(figure, count, Long::sum));
             } else if (host.process() instanceof Watcher watcher) {
-                watcher.observer().figures().forEach((figure, count) -> observers.merge(figure, count, Long::sum));
+                watcher.observer().counters().forEach((figure, count) -> observers.merge(figure, count, Long::sum));
             }
         });
         notes.append("voters' counts, those that ran at the end: ").append(feeds).append("\nobservers' counts: ").append(observers)
--- a/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
@@ -89,11 +89,11 @@
             if (action instanceof ObserverAction.Send send) {
                 send(send.to(), send.message());
             } else if (action instanceof ObserverAction.EffectiveOrderChanged stands) {
-                world().orders().stands(host(), stands.key(), stands.order());
+                world().orders().stands(host(), stands.key(), stands.effectiveOrder());
             } else if (action instanceof ObserverAction.Acknowledged done) {
                 world().orders().acknowledged(done.id(), done.order());
             } else if (action instanceof ObserverAction.Refused no) {
-                world().orders().refused(no.id(), no.why());
+                world().orders().refused(no.id(), no.cause());
             }
         }
     }
--- a/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
@@ -70,8 +70,8 @@
     /** Checks an action that an observer's state machine has emitted. */
     void emitted(SimulatedObserver observer, ObserverAction action) {
         if (action instanceof ObserverAction.EffectiveOrderChanged reported) {
-            fleet.time.log("%s acts on %s: %s", name(observer), reported.key(), reported.order());
-            checkOrder(observer, reported.key(), reported.order());
+            fleet.time.log("%s acts on %s: %s", name(observer), reported.key(), reported.effectiveOrder());
+            checkOrder(observer, reported.key(), reported.effectiveOrder());
         } else if (action instanceof ObserverAction.CaughtUpChanged reported) {
             fleet.time.log("%s caught up: %s", name(observer), reported.caughtUp());
             if (reported.caughtUp()) {
@@ -124,7 +124,7 @@
             oracle.checkHeld(reported.order());
             oracle.acknowledged(observer.owner, reported.id(), reported.order());
         } else if (action instanceof ObserverAction.Refused reported) {
-            oracle.refused(observer.owner, reported.id(), reported.why());
+            oracle.refused(observer.owner, reported.id(), reported.cause());
         }
     }
 
@@ -207,7 +207,7 @@
     }
 
     private static Map<String, Integer> counts(Node.Process process) {
-        return process.observer == null ? process.feed.lives() : process.observer.machine.lives();
+        return process.observer == null ? process.feed.lives() : process.observer.machine.observersByRegion();
     }
 
     private static boolean nothingInForce(List<Order> heads) {
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
@@ -42,7 +42,7 @@
 
     /** Returns the number of living observers by region, as this voter knows it. */
     Map<String, Integer> lives() {
-        return machine.lives(owner.node().clockUs());
+        return machine.observersByRegion(owner.node().clockUs());
     }
 
     void handle(FeedEvent event) {
