--- a/fleet/src/main/java/walkpost/fleet/observe/Feed.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Feed.java
@@ -76,16 +76,16 @@
             observerCensus.tick(nowUs, otherVoters, subscribers.countedByRegion(), sender);
         } else if (event instanceof FeedEvent.Received received) {
             receive(nowUs, received.from(), received.message(), sender, actions);
-        } else if (event instanceof FeedEvent.Asked queried) {
+        } else if (event instanceof FeedEvent.EntriesQueried queried) {
             if (queryBucket.take(nowUs, 1)) {
                 answerEntries(nowUs, queried.from(), queried.question(), queried.own(), sender);
             }
-        } else if (event instanceof FeedEvent.Changed changed) {
+        } else if (event instanceof FeedEvent.SlotsChanged changed) {
             slotsChanged(nowUs, changed.slots(), sender);
         } else if (event instanceof FeedEvent.CaughtUpChanged change) {
             caughtUpUntilUs = caughtUp ? nowUs : caughtUpUntilUs;
             caughtUp = change.level();
-        } else if (event instanceof FeedEvent.Voters live) {
+        } else if (event instanceof FeedEvent.LiveVoters live) {
             otherVoters = new TreeSet<>(live.names().stream().filter(name -> voters.contains(name) && !name.equals(self)).toList());
         } else if (event instanceof FeedEvent.Acknowledged acknowledged) {
             forwardedOrders.acknowledged(nowUs, acknowledged.id(), acknowledged.order(), sender);
@@ -120,15 +120,15 @@
     }
 
     private void receive(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<FeedAction> actions) {
-        if (message instanceof ObserveMessage.AskEntries query) {
+        if (message instanceof ObserveMessage.EntriesQuery query) {
             if (queryBucket.take(nowUs, 1)) {
                 answerEntries(nowUs, from, query, List.of(), sender);
             }
-        } else if (message instanceof ObserveMessage.AskHeld query) {
+        } else if (message instanceof ObserveMessage.CoverageQuery query) {
             if (queryBucket.take(nowUs, 1)) {
                 answerCoverage(from, query, sender);
             }
-        } else if (message instanceof ObserveMessage.Sum counts) {
+        } else if (message instanceof ObserveMessage.ObserverCounts counts) {
             if (voters.contains(from)) {
                 observerCensus.receive(nowUs, from, counts);
             } else {
@@ -143,32 +143,32 @@
     }
 
     private void receiveFromObserver(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<FeedAction> actions) {
-        if (message instanceof ObserveMessage.Beat heartbeat) {
+        if (message instanceof ObserveMessage.Heartbeat heartbeat) {
             boolean known = subscribers.heartbeat(nowUs, from, heartbeat.primary(), caughtUp && slotSync.isEqual(heartbeat.root()));
             sender.send(from, known
-                    ? new ObserveMessage.Echo(heartbeat.seq(), caughtUp, awayUs(nowUs), slotSync.differingNodes(heartbeat.root()),
+                    ? new ObserveMessage.HeartbeatReply(heartbeat.seq(), caughtUp, awayUs(nowUs), slotSync.differingNodes(heartbeat.root()),
                             observersByRegion(nowUs))
-                    : new ObserveMessage.Later(heartbeat.seq(), ObserveMessage.Reason.UNKNOWN, 0));
-        } else if (message instanceof ObserveMessage.Join request) {
-            ObserveMessage.Later refusal = subscribers.subscribe(nowUs, from, request);
-            sender.send(from, refusal != null ? refusal : new ObserveMessage.Welcome(request.seq(), observerCensus.regions()));
-        } else if (message instanceof ObserveMessage.Leave) {
+                    : new ObserveMessage.SubscriptionRefused(heartbeat.seq(), ObserveMessage.RefusalReason.UNKNOWN, 0));
+        } else if (message instanceof ObserveMessage.Subscribe request) {
+            ObserveMessage.SubscriptionRefused refusal = subscribers.subscribe(nowUs, from, request);
+            sender.send(from, refusal != null ? refusal : new ObserveMessage.Subscribed(request.seq(), observerCensus.regions()));
+        } else if (message instanceof ObserveMessage.Unsubscribe) {
             subscribers.unsubscribe(from);
-        } else if (message instanceof ObserveMessage.Taken ack) {
+        } else if (message instanceof ObserveMessage.PushAck ack) {
             subscribers.pushAcknowledged(from, ack.number());
-        } else if (message instanceof ObserveMessage.Report report) {
+        } else if (message instanceof ObserveMessage.ReportEntries report) {
             reportedEntries.store(nowUs, from, report.facts());
-        } else if (message instanceof ObserveMessage.Leaves hashes) {
+        } else if (message instanceof ObserveMessage.LeafHashes hashes) {
             slotSync.compareLeaves(from, hashes, sender);
-        } else if (message instanceof ObserveMessage.Want request) {
+        } else if (message instanceof ObserveMessage.FetchRequest request) {
             slotSync.sendSlots(from, request, awayUs(nowUs), sender);
         } else if (message instanceof ObserveMessage.Offer offer) {
             List<Slot> accepted = slotSync.receiveOffer(nowUs, from, offer, awayUs(nowUs), sender);
             if (!accepted.isEmpty()) {
                 counters.increment("offers.taken");
-                actions.accept(new FeedAction.Offer(accepted));
+                actions.accept(new FeedAction.OfferSlots(accepted));
             }
-        } else if (message instanceof ObserveMessage.Call order) {
+        } else if (message instanceof ObserveMessage.ForwardOrder order) {
             if (forwardedOrders.receive(nowUs, from, order, sender)) {
                 actions.accept(new FeedAction.Propose(order.key(), order.id(), order.replaces(), order.payload()));
             }
@@ -177,7 +177,7 @@
         }
     }
 
-    private void answerEntries(long nowUs, String from, ObserveMessage.AskEntries query, List<Entry> own, MessageSender sender) {
+    private void answerEntries(long nowUs, String from, ObserveMessage.EntriesQuery query, List<Entry> own, MessageSender sender) {
         List<Entry> all = new ArrayList<>(own);
         if (query.topic() != null) {
             all.addAll(reportedEntries.onTopic(query.topic(), nowUs));
@@ -187,11 +187,11 @@
             parts.add(List.of());
         }
         for (int part = 0; part < parts.size(); part++) {
-            sender.send(from, new ObserveMessage.Entries(query.seq(), part, parts.size(), parts.get(part)));
+            sender.send(from, new ObserveMessage.EntriesReply(query.seq(), part, parts.size(), parts.get(part)));
         }
     }
 
-    private void answerCoverage(String from, ObserveMessage.AskHeld query, MessageSender sender) {
+    private void answerCoverage(String from, ObserveMessage.CoverageQuery query, MessageSender sender) {
         Slot slot = table.slot(query.key());
         boolean heldHere = slot.heads().stream().map(Order::id).anyMatch(query.id()::equals) || slot.replaced().containsKey(query.id());
         List<String> lacking = new ArrayList<>();
@@ -200,7 +200,7 @@
         }
         subscribers.counted().stream().filter(name -> !heldHere || !subscribers.holds(name, query.key())).forEach(lacking::add);
         int memberCount = subscribers.counted().size() + 1;
-        sender.send(from, new ObserveMessage.Held(query.seq(), memberCount - lacking.size(), memberCount,
+        sender.send(from, new ObserveMessage.CoverageReply(query.seq(), memberCount - lacking.size(), memberCount,
                 lacking.subList(0, Math.min(MAX_LACKING_NAMES, lacking.size()))));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedAction.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedAction.java
@@ -20,8 +20,8 @@
      * Give slots in which an observer holds more than this voter to the shards of their keys
      * ({@link walkpost.fleet.copy.ShardEvent.SlotsOffered}).
      */
-    record Offer(List<Slot> slots) implements FeedAction {
-        public Offer {
+    record OfferSlots(List<Slot> slots) implements FeedAction {
+        public OfferSlots {
             slots = List.copyOf(slots);
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
@@ -13,8 +13,8 @@
     record Tick() implements FeedEvent { }
 
     /** The set of live voters has changed; this voter is not among them. */
-    record Voters(Set<String> names) implements FeedEvent {
-        public Voters {
+    record LiveVoters(Set<String> names) implements FeedEvent {
+        public LiveVoters {
             names = Set.copyOf(names);
         }
     }
@@ -27,8 +27,8 @@
      *
      * @param own the entries on that topic that this voter has written itself, with their ages at the time of the event
      */
-    record Asked(String from, ObserveMessage.AskEntries question, List<Entry> own) implements FeedEvent {
-        public Asked {
+    record EntriesQueried(String from, ObserveMessage.EntriesQuery question, List<Entry> own) implements FeedEvent {
+        public EntriesQueried {
             own = List.copyOf(own);
         }
     }
@@ -38,8 +38,8 @@
      *
      * @param slots the new content; a slot without history was forgotten
      */
-    record Changed(List<Slot> slots) implements FeedEvent {
-        public Changed {
+    record SlotsChanged(List<Slot> slots) implements FeedEvent {
+        public SlotsChanged {
             slots = List.copyOf(slots);
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
@@ -149,7 +149,7 @@
     }
 
     /** Takes the acceptance of a subscription. Returns whether the voter has become a feed by it. */
-    boolean subscribed(long nowUs, String from, ObserveMessage.Welcome accepted) {
+    boolean subscribed(long nowUs, String from, ObserveMessage.Subscribed accepted) {
         Subscription subscription = find(from);
         if (subscription == null || subscription.active || !subscription.unansweredSentUs.containsKey(accepted.seq())) {
             return false;
@@ -166,13 +166,13 @@
     }
 
     /** Takes a refusal: subscribes again if the voter no longer knows this observer, or else leaves the voter alone for a while. */
-    void refused(long nowUs, String from, ObserveMessage.Later refusal, MessageSender sender) {
+    void refused(long nowUs, String from, ObserveMessage.SubscriptionRefused refusal, MessageSender sender) {
         recordProbeReply(nowUs, from, refusal.seq());
         Subscription subscription = find(from);
         if (subscription == null || subscription.unansweredSentUs.remove(refusal.seq()) == null) {
             return;
         }
-        if (refusal.why() == ObserveMessage.Reason.UNKNOWN && subscription.active) {
+        if (refusal.why() == ObserveMessage.RefusalReason.UNKNOWN && subscription.active) {
             // The voter has restarted, or has forgotten this observer after a silence.
             subscription.active = false;
             subscription.lastHeardUs = nowUs;
@@ -213,7 +213,7 @@
         for (String voter : liveVoters) {
             if (find(voter) == null && avoidUntilUs.getOrDefault(voter, Long.MIN_VALUE) <= nowUs) {
                 probes.put(voter, new Probe(++lastSeq, nowUs));
-                sender.send(voter, new ObserveMessage.Beat(lastSeq, false, rootHash, awayUs));
+                sender.send(voter, new ObserveMessage.Heartbeat(lastSeq, false, rootHash, awayUs));
             }
         }
         chooseAtUs = nowUs + PROBE_TIMEOUT_US;
@@ -250,7 +250,7 @@
                 .reduce((one, other) -> other).orElse(null);
         if (worst != null && subscriptions.stream().anyMatch(subscription -> subscription != worst && subscription.active)) {
             subscriptions.remove(worst);
-            sender.send(worst.voter, new ObserveMessage.Leave());
+            sender.send(worst.voter, new ObserveMessage.Unsubscribe());
             counters.increment("feeds.changed");
         }
     }
@@ -267,14 +267,14 @@
     }
 
     private void requestSubscription(long nowUs, Subscription subscription, MessageSender sender) {
-        sender.send(subscription.voter, new ObserveMessage.Join(nextSeq(nowUs, subscription), region, isPrimary(subscription)));
+        sender.send(subscription.voter, new ObserveMessage.Subscribe(nextSeq(nowUs, subscription), region, isPrimary(subscription)));
     }
 
     private void sendHeartbeat(long nowUs, Subscription subscription, long rootHash, long awayUs, MessageSender sender) {
         // The jitter keeps observers that started together from sending their heartbeats at the same moments for ever.
         subscription.nextHeartbeatUs = nowUs + settings.beatUs() - random.nextLong(Math.max(1, settings.beatUs() / 8));
         sender.send(subscription.voter,
-                new ObserveMessage.Beat(nextSeq(nowUs, subscription), isPrimary(subscription), rootHash, awayUs));
+                new ObserveMessage.Heartbeat(nextSeq(nowUs, subscription), isPrimary(subscription), rootHash, awayUs));
         subscription.unansweredHeartbeats++;
     }
 
--- a/fleet/src/main/java/walkpost/fleet/observe/ForwardedOrders.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ForwardedOrders.java
@@ -32,7 +32,7 @@
 
     private record ReplyKey(String observer, String orderId) { }
 
-    private record KeptReply(ObserveMessage.Answer reply, long repliedUs) { }
+    private record KeptReply(ObserveMessage.ForwardOrderReply reply, long repliedUs) { }
 
     private final ObserveCounters counters;
     private final Map<String, OrderUnderWay> underWay = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
     }
 
     /** Takes a forwarded order. Returns true if it is to be proposed: it is neither answered nor under way, nor one too many. */
-    boolean receive(long nowUs, String from, ObserveMessage.Call order, MessageSender sender) {
+    boolean receive(long nowUs, String from, ObserveMessage.ForwardOrder order, MessageSender sender) {
         KeptReply kept = keptReplies.get(new ReplyKey(from, order.id()));
         if (kept != null && (kept.reply.order() != null || order.attempt() <= kept.reply.attempt())) {
             sender.send(from, withAttempt(nowUs, kept.reply, kept.reply.attempt()));
@@ -62,7 +62,7 @@
         }
         if (underWay.size() >= MAX_UNDER_WAY) {
             counters.increment("calls.refused_many");
-            ObserveMessage.Answer full = refusal(order.id(),
+            ObserveMessage.ForwardOrderReply full = refusal(order.id(),
                     new FleetException.Full("orders under way at this voter", MAX_UNDER_WAY), true);
             reply(nowUs, from, full, order.attempt(), sender);
             return false;
@@ -75,7 +75,7 @@
     }
 
     void acknowledged(long nowUs, String id, Order order, MessageSender sender) {
-        end(nowUs, id, new ObserveMessage.Answer(id, 0, 0, order, null, null, null, false), sender);
+        end(nowUs, id, new ObserveMessage.ForwardOrderReply(id, 0, 0, order, null, null, null, false), sender);
     }
 
     void refused(long nowUs, String id, FleetException cause, MessageSender sender) {
@@ -92,17 +92,17 @@
         keptReplies.values().removeIf(each -> nowUs - each.repliedUs > REPLY_RETENTION_US);
     }
 
-    private void end(long nowUs, String id, ObserveMessage.Answer reply, MessageSender sender) {
+    private void end(long nowUs, String id, ObserveMessage.ForwardOrderReply reply, MessageSender sender) {
         OrderUnderWay ended = underWay.remove(id);
         if (ended != null) {
             ended.highestAttemptByObserver.forEach((to, attempt) -> reply(nowUs, to, reply, attempt, sender));
         }
     }
 
-    private void reply(long nowUs, String to, ObserveMessage.Answer reply, long attempt, MessageSender sender) {
+    private void reply(long nowUs, String to, ObserveMessage.ForwardOrderReply reply, long attempt, MessageSender sender) {
         var key = new ReplyKey(to, reply.id());
         KeptReply before = keptReplies.remove(key);
-        ObserveMessage.Answer sent = reply;
+        ObserveMessage.ForwardOrderReply sent = reply;
         if (reply.order() == null && before != null && UNCERTAIN.equals(before.reply.type())) {
             // The order was decided, so that it may be or have been in force, whatever the result of a later attempt.
             sent = before.reply;
@@ -115,13 +115,13 @@
         sender.send(to, sent);
     }
 
-    private ObserveMessage.Answer withAttempt(long nowUs, ObserveMessage.Answer reply, long attempt) {
-        return new ObserveMessage.Answer(reply.id(), attempt, nowUs - startedUs, reply.order(), reply.type(), reply.text(),
+    private ObserveMessage.ForwardOrderReply withAttempt(long nowUs, ObserveMessage.ForwardOrderReply reply, long attempt) {
+        return new ObserveMessage.ForwardOrderReply(reply.id(), attempt, nowUs - startedUs, reply.order(), reply.type(), reply.text(),
                 reply.remedy(), reply.again());
     }
 
-    private static ObserveMessage.Answer refusal(String id, FleetException cause, boolean again) {
-        return new ObserveMessage.Answer(id, 0, 0, null, cause.getClass().getSimpleName(), cause.problem(), cause.remedy(),
+    private static ObserveMessage.ForwardOrderReply refusal(String id, FleetException cause, boolean again) {
+        return new ObserveMessage.ForwardOrderReply(id, 0, 0, null, cause.getClass().getSimpleName(), cause.problem(), cause.remedy(),
                 again);
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
@@ -20,27 +20,27 @@
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = ObserveMessage.Join.class, name = "j"),
-    @JsonSubTypes.Type(value = ObserveMessage.Welcome.class, name = "jy"),
-    @JsonSubTypes.Type(value = ObserveMessage.Later.class, name = "jn"),
-    @JsonSubTypes.Type(value = ObserveMessage.Leave.class, name = "l"),
-    @JsonSubTypes.Type(value = ObserveMessage.Beat.class, name = "b"),
-    @JsonSubTypes.Type(value = ObserveMessage.Echo.class, name = "e"),
-    @JsonSubTypes.Type(value = ObserveMessage.Leaves.class, name = "cl"),
-    @JsonSubTypes.Type(value = ObserveMessage.Stamps.class, name = "cs"),
-    @JsonSubTypes.Type(value = ObserveMessage.Want.class, name = "w"),
+    @JsonSubTypes.Type(value = ObserveMessage.Subscribe.class, name = "j"),
+    @JsonSubTypes.Type(value = ObserveMessage.Subscribed.class, name = "jy"),
+    @JsonSubTypes.Type(value = ObserveMessage.SubscriptionRefused.class, name = "jn"),
+    @JsonSubTypes.Type(value = ObserveMessage.Unsubscribe.class, name = "l"),
+    @JsonSubTypes.Type(value = ObserveMessage.Heartbeat.class, name = "b"),
+    @JsonSubTypes.Type(value = ObserveMessage.HeartbeatReply.class, name = "e"),
+    @JsonSubTypes.Type(value = ObserveMessage.LeafHashes.class, name = "cl"),
+    @JsonSubTypes.Type(value = ObserveMessage.SlotDigests.class, name = "cs"),
+    @JsonSubTypes.Type(value = ObserveMessage.FetchRequest.class, name = "w"),
     @JsonSubTypes.Type(value = ObserveMessage.Slots.class, name = "s"),
     @JsonSubTypes.Type(value = ObserveMessage.Push.class, name = "p"),
-    @JsonSubTypes.Type(value = ObserveMessage.Taken.class, name = "py"),
+    @JsonSubTypes.Type(value = ObserveMessage.PushAck.class, name = "py"),
     @JsonSubTypes.Type(value = ObserveMessage.Offer.class, name = "o"),
-    @JsonSubTypes.Type(value = ObserveMessage.Call.class, name = "c"),
-    @JsonSubTypes.Type(value = ObserveMessage.Answer.class, name = "cy"),
-    @JsonSubTypes.Type(value = ObserveMessage.Report.class, name = "r"),
-    @JsonSubTypes.Type(value = ObserveMessage.AskEntries.class, name = "qf"),
-    @JsonSubTypes.Type(value = ObserveMessage.Entries.class, name = "af"),
-    @JsonSubTypes.Type(value = ObserveMessage.AskHeld.class, name = "qh"),
-    @JsonSubTypes.Type(value = ObserveMessage.Held.class, name = "ah"),
-    @JsonSubTypes.Type(value = ObserveMessage.Sum.class, name = "u")
+    @JsonSubTypes.Type(value = ObserveMessage.ForwardOrder.class, name = "c"),
+    @JsonSubTypes.Type(value = ObserveMessage.ForwardOrderReply.class, name = "cy"),
+    @JsonSubTypes.Type(value = ObserveMessage.ReportEntries.class, name = "r"),
+    @JsonSubTypes.Type(value = ObserveMessage.EntriesQuery.class, name = "qf"),
+    @JsonSubTypes.Type(value = ObserveMessage.EntriesReply.class, name = "af"),
+    @JsonSubTypes.Type(value = ObserveMessage.CoverageQuery.class, name = "qh"),
+    @JsonSubTypes.Type(value = ObserveMessage.CoverageReply.class, name = "ah"),
+    @JsonSubTypes.Type(value = ObserveMessage.ObserverCounts.class, name = "u")
 })
 public sealed interface ObserveMessage {
     /**
@@ -48,15 +48,15 @@
      *
      * @param primary whether the voter is to count the observer among the live ones; each observer has one primary feed
      */
-    record Join(long seq, String region, boolean primary) implements ObserveMessage { }
+    record Subscribe(long seq, String region, boolean primary) implements ObserveMessage { }
 
     /**
      * Accepts a subscription.
      *
      * @param regions the regions of all voters that the sender knows of, by voter name
      */
-    record Welcome(long seq, Map<String, String> regions) implements ObserveMessage {
-        public Welcome {
+    record Subscribed(long seq, Map<String, String> regions) implements ObserveMessage {
+        public Subscribed {
             regions = Map.copyOf(regions);
         }
     }
@@ -66,14 +66,14 @@
      *
      * @param retryMs the time in milliseconds after which the observer may try this voter again
      */
-    record Later(long seq, Reason why, long retryMs) implements ObserveMessage {
-        public Later {
+    record SubscriptionRefused(long seq, ObserveMessage.RefusalReason why, long retryMs) implements ObserveMessage {
+        public SubscriptionRefused {
             Objects.requireNonNull(why, "why");
         }
     }
 
     /** Ends a subscription: the observer has replaced this feed by another, or ends. */
-    record Leave() implements ObserveMessage { }
+    record Unsubscribe() implements ObserveMessage { }
 
     /**
      * Sends the root hash of the observer's replica to a voter. An observer that is in sync exchanges only heartbeats and their replies.
@@ -82,7 +82,7 @@
      * @param root the root hash of the orders in force in the observer's replica
      * @param awayUs the time since the observer's replica was last known to equal the fleet's orders
      */
-    record Beat(long seq, boolean primary, long root, long awayUs) implements ObserveMessage { }
+    record Heartbeat(long seq, boolean primary, long root, long awayUs) implements ObserveMessage { }
 
     /**
      * Answers a heartbeat.
@@ -92,16 +92,16 @@
      * @param nodes the node hashes of the voter's tree if the roots differ; empty if they are equal
      * @param lives the number of live observers by region, as counted by all voters together; empty if it is not known
      */
-    record Echo(long seq, boolean level, long awayUs, long[] nodes, Map<String, Integer> lives) implements ObserveMessage {
-        public Echo {
+    record HeartbeatReply(long seq, boolean level, long awayUs, long[] nodes, Map<String, Integer> lives) implements ObserveMessage {
+        public HeartbeatReply {
             Objects.requireNonNull(nodes, "nodes");
             lives = Map.copyOf(lives);
         }
     }
 
     /** Carries the observer's leaf hashes below the nodes that differ, 16 for each node. */
-    record Leaves(long seq, int[] nodes, long[] leaves) implements ObserveMessage {
-        public Leaves {
+    record LeafHashes(long seq, int[] nodes, long[] leaves) implements ObserveMessage {
+        public LeafHashes {
             Objects.requireNonNull(nodes, "nodes");
             Objects.requireNonNull(leaves, "leaves");
         }
@@ -112,16 +112,16 @@
      *
      * @param leaves the numbers of the leaves that differ
      */
-    record Stamps(long seq, int part, int parts, int[] leaves, List<ShardMessage.SlotDigest> stamps) implements ObserveMessage {
-        public Stamps {
+    record SlotDigests(long seq, int part, int parts, int[] leaves, List<ShardMessage.SlotDigest> stamps) implements ObserveMessage {
+        public SlotDigests {
             Objects.requireNonNull(leaves, "leaves");
             stamps = List.copyOf(stamps);
         }
     }
 
     /** Requests slots by key. */
-    record Want(long seq, List<Order.Key> keys) implements ObserveMessage {
-        public Want {
+    record FetchRequest(long seq, List<Order.Key> keys) implements ObserveMessage {
+        public FetchRequest {
             keys = List.copyOf(keys);
         }
     }
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Carries slots that have just changed at the voter. The observer answers with a {@link Taken} of the same number. */
+    /** Carries slots that have just changed at the voter. The observer answers with a {@link ObserveMessage.PushAck} of the same number. */
     record Push(long number, long awayUs, List<Slot> slots) implements ObserveMessage {
         public Push {
             slots = List.copyOf(slots);
@@ -141,7 +141,7 @@
     }
 
     /** Acknowledges a push: the observer has merged its slots. */
-    record Taken(long number) implements ObserveMessage { }
+    record PushAck(long number) implements ObserveMessage { }
 
     /** Offers slots that the voter lacks or holds in part. A voter accepts an offer only if the observer's replica is not too old. */
     record Offer(long awayUs, List<Slot> slots) implements ObserveMessage {
@@ -156,8 +156,8 @@
      * @param attempt a number that increases with each message that forwards an order of this observer, to any voter, and from one life to
      *     the next
      */
-    record Call(Order.Key key, String id, String replaces, String payload, long attempt) implements ObserveMessage {
-        public Call {
+    record ForwardOrder(Order.Key key, String id, String replaces, String payload, long attempt) implements ObserveMessage {
+        public ForwardOrder {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(id, "id");
         }
@@ -170,33 +170,33 @@
      * @param aliveUs how long the voter's process has run: it knows nothing of a message that was sent to it before
      * @param again whether another voter, or the same one a moment later, may accept the order
      */
-    record Answer(String id, long attempt, long aliveUs, Order order, String type, String text, String remedy, boolean again)
+    record ForwardOrderReply(String id, long attempt, long aliveUs, Order order, String type, String text, String remedy, boolean again)
             implements ObserveMessage {
-        public Answer {
+        public ForwardOrderReply {
             Objects.requireNonNull(id, "id");
         }
     }
 
     /** Reports entries that the observer has written, with their ages at the time of sending. */
-    record Report(List<Entry> facts) implements ObserveMessage {
-        public Report {
+    record ReportEntries(List<Entry> facts) implements ObserveMessage {
+        public ReportEntries {
             facts = List.copyOf(facts);
         }
     }
 
     /** Queries the entries on a topic that observers have reported to the voter. */
-    record AskEntries(long seq, String topic) implements ObserveMessage { }
+    record EntriesQuery(long seq, String topic) implements ObserveMessage { }
 
     /** Answers an entries query with the entries and their ages at the time of sending, in one part of several. */
-    record Entries(long seq, int part, int parts, List<Entry> facts) implements ObserveMessage {
-        public Entries {
+    record EntriesReply(long seq, int part, int parts, List<Entry> facts) implements ObserveMessage {
+        public EntriesReply {
             facts = List.copyOf(facts);
         }
     }
 
     /** Queries which of the observers that the voter counts hold an order, or an order that has replaced it. */
-    record AskHeld(long seq, Order.Key key, String id) implements ObserveMessage {
-        public AskHeld {
+    record CoverageQuery(long seq, Order.Key key, String id) implements ObserveMessage {
+        public CoverageQuery {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(id, "id");
         }
@@ -209,8 +209,8 @@
      * @param of how many members the voter counts: its observers and itself
      * @param lacking the names of some members that do not hold the order
      */
-    record Held(long seq, int held, int of, List<String> lacking) implements ObserveMessage {
-        public Held {
+    record CoverageReply(long seq, int held, int of, List<String> lacking) implements ObserveMessage {
+        public CoverageReply {
             lacking = List.copyOf(lacking);
         }
     }
@@ -220,12 +220,12 @@
      *
      * @param lives the number of observers by region
      */
-    record Sum(String region, Map<String, Integer> lives) implements ObserveMessage {
-        public Sum {
+    record ObserverCounts(String region, Map<String, Integer> lives) implements ObserveMessage {
+        public ObserverCounts {
             lives = Map.copyOf(lives);
         }
     }
 
     /** Why a voter refuses an observer: it serves as many as it may, too many subscribe at once, or it does not know the observer. */
-    enum Reason { FULL, TOO_MANY_AT_ONCE, UNKNOWN }
+    enum RefusalReason { FULL, TOO_MANY_AT_ONCE, UNKNOWN }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/Observer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Observer.java
@@ -79,7 +79,7 @@
         MessageSender sender = (to, message) -> actions.accept(new ObserverAction.Send(to, message));
         if (event instanceof ObserverEvent.Tick) {
             tick(nowUs, sender, actions);
-        } else if (event instanceof ObserverEvent.Voters live) {
+        } else if (event instanceof ObserverEvent.LiveVoters live) {
             subscriptions.setLiveVoters(new TreeSet<>(live.roundTripUs().keySet().stream().filter(voters::contains).toList()));
         } else if (event instanceof ObserverEvent.Received received) {
             if (voters.contains(received.from())) {
@@ -149,31 +149,31 @@
     }
 
     private void receive(long nowUs, String from, ObserveMessage message, MessageSender sender, Consumer<ObserverAction> actions) {
-        if (message instanceof ObserveMessage.Echo reply) {
+        if (message instanceof ObserveMessage.HeartbeatReply reply) {
             receiveHeartbeatReply(nowUs, from, reply, sender, actions);
         } else if (message instanceof ObserveMessage.Push push) {
             push.slots().forEach(slot -> merge(nowUs, slot));
-            sender.send(from, new ObserveMessage.Taken(push.number()));
-        } else if (message instanceof ObserveMessage.Stamps digests) {
+            sender.send(from, new ObserveMessage.PushAck(push.number()));
+        } else if (message instanceof ObserveMessage.SlotDigests digests) {
             if (slotSync.receiveDigests(nowUs, from, digests, controlAgeUs(nowUs), sender)) {
                 subscriptions.sendHeartbeatSoon(nowUs, from);
             }
         } else if (message instanceof ObserveMessage.Slots slots) {
             receiveSlots(nowUs, from, slots, sender);
-        } else if (message instanceof ObserveMessage.Answer reply) {
+        } else if (message instanceof ObserveMessage.ForwardOrderReply reply) {
             orderForwarder.receiveReply(nowUs, from, reply, actions);
-        } else if (message instanceof ObserveMessage.Welcome accepted) {
+        } else if (message instanceof ObserveMessage.Subscribed accepted) {
             if (subscriptions.subscribed(nowUs, from, accepted)) {
                 ownEntries.reportAll(nowUs, from, subscriptions, sender);
             }
-        } else if (message instanceof ObserveMessage.Later refusal) {
+        } else if (message instanceof ObserveMessage.SubscriptionRefused refusal) {
             subscriptions.refused(nowUs, from, refusal, sender);
         } else {
             counters.increment("dropped.not_for_observers");
         }
     }
 
-    private void receiveHeartbeatReply(long nowUs, String from, ObserveMessage.Echo reply, MessageSender sender,
+    private void receiveHeartbeatReply(long nowUs, String from, ObserveMessage.HeartbeatReply reply, MessageSender sender,
             Consumer<ObserverAction> actions) {
         Long sentUs = subscriptions.heartbeatReply(nowUs, from, reply.seq());
         if (sentUs == null || !reply.level()) {
@@ -182,7 +182,7 @@
         }
         if (!reply.lives().isEmpty() && !reply.lives().equals(observersByRegion)) {
             observersByRegion = reply.lives();
-            actions.accept(new ObserverAction.Lives(observersByRegion));
+            actions.accept(new ObserverAction.ObserverCountsChanged(observersByRegion));
         }
         if (reply.nodes().length == 0) {
             lastInSyncUs = hasBeenInSync ? Math.max(lastInSyncUs, sentUs) : sentUs;
@@ -237,7 +237,7 @@
             actions.accept(new ObserverAction.CaughtUpChanged(caughtUpNow));
             if (!caughtUpNow && !observersByRegion.isEmpty()) {
                 observersByRegion = Map.of();
-                actions.accept(new ObserverAction.Lives(observersByRegion));
+                actions.accept(new ObserverAction.ObserverCountsChanged(observersByRegion));
             }
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverAction.java
@@ -23,8 +23,8 @@
     record CaughtUpChanged(boolean caughtUp) implements ObserverAction { }
 
     /** Note that the number of live observers by region has changed; it is empty if it is no longer known. */
-    record Lives(Map<String, Integer> byRegion) implements ObserverAction {
-        public Lives {
+    record ObserverCountsChanged(Map<String, Integer> byRegion) implements ObserverAction {
+        public ObserverCountsChanged {
             byRegion = Map.copyOf(byRegion);
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverCensus.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverCensus.java
@@ -23,7 +23,7 @@
     }
 
     /** Stores another voter's region and counts; ignores a message with a negative count. */
-    void receive(long nowUs, String from, ObserveMessage.Sum counts) {
+    void receive(long nowUs, String from, ObserveMessage.ObserverCounts counts) {
         if (counts.lives().values().stream().allMatch(count -> count >= 0)) {
             regions.put(from, counts.region() == null ? "" : counts.region());
             countsByVoter.put(from, new ReceivedCounts(counts.lives(), nowUs));
@@ -34,7 +34,7 @@
     void tick(long nowUs, Set<String> otherVoters, Map<String, Integer> ownCounts, MessageSender sender) {
         if (nowUs >= nextUs) {
             nextUs = nowUs + PERIOD_US;
-            var counts = new ObserveMessage.Sum(region, ownCounts);
+            var counts = new ObserveMessage.ObserverCounts(region, ownCounts);
             otherVoters.forEach(to -> sender.send(to, counts));
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserverEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserverEvent.java
@@ -14,8 +14,8 @@
      *
      * @param roundTripUs the round-trip time to each live member in microseconds, by name; members that are not voters are ignored
      */
-    record Voters(Map<String, Long> roundTripUs) implements ObserverEvent {
-        public Voters {
+    record LiveVoters(Map<String, Long> roundTripUs) implements ObserverEvent {
+        public LiveVoters {
             roundTripUs = Map.copyOf(roundTripUs);
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/observe/OrderForwarder.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OrderForwarder.java
@@ -125,11 +125,11 @@
         forwarded.attemptsByVoter.computeIfAbsent(to, name -> new VoterAttempts(nowUs)).lastSent = ++lastAttempt;
         forwarded.sentCount++;
         forwarded.nextUs = nowUs + settings.retransmitUs();
-        sender.send(to, new ObserveMessage.Call(order.key(), order.id(), order.replaces(), order.payload(), lastAttempt));
+        sender.send(to, new ObserveMessage.ForwardOrder(order.key(), order.id(), order.replaces(), order.payload(), lastAttempt));
     }
 
     /** Takes a voter's reply; passes the result on once it is certain. */
-    void receiveReply(long nowUs, String from, ObserveMessage.Answer reply, Consumer<ObserverAction> actions) {
+    void receiveReply(long nowUs, String from, ObserveMessage.ForwardOrderReply reply, Consumer<ObserverAction> actions) {
         ForwardedOrder forwarded = forwardedOrders.get(reply.id());
         VoterAttempts attempts = forwarded == null ? null : forwarded.attemptsByVoter.get(from);
         if (attempts == null) {
--- a/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
@@ -61,6 +61,6 @@
         // The age includes the round-trip time to the feed, so that it is never too low.
         reported.forEach((key, entry) -> all.add(new Entry(key, self.incarnation(), entry.version, entry.payload,
                 nowUs - entry.writtenUs + subscriptions.roundTripUs(to))));
-        MessageSizes.split(all, MessageSizes::bytesOf).forEach(part -> sender.send(to, new ObserveMessage.Report(part)));
+        MessageSizes.split(all, MessageSizes::bytesOf).forEach(part -> sender.send(to, new ObserveMessage.ReportEntries(part)));
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/SlotSyncClient.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotSyncClient.java
@@ -77,7 +77,7 @@
             System.arraycopy(table.tree().leaves(nodesToCompare[i]), 0, leafHashes, i * HashTree.WIDTH, HashTree.WIDTH);
         }
         counters.increment("compared.differing");
-        sender.send(voter, new ObserveMessage.Leaves(seq, nodesToCompare, leafHashes));
+        sender.send(voter, new ObserveMessage.LeafHashes(seq, nodesToCompare, leafHashes));
     }
 
     /**
@@ -86,7 +86,7 @@
      * @param awayUs the time since the replica was last known to be in sync. If it never was, the voter's slots replace its own in the
      *     leaves that differ, because no voter would accept an offer from it and the process has not acted on any of its slots
      */
-    boolean receiveDigests(long nowUs, String from, ObserveMessage.Stamps digests, long awayUs, MessageSender sender) {
+    boolean receiveDigests(long nowUs, String from, ObserveMessage.SlotDigests digests, long awayUs, MessageSender sender) {
         if (!from.equals(voter) || digests.seq() != seq || !MessageSizes.isValidPart(digests.part(), digests.parts())) {
             return false;
         }
@@ -150,7 +150,7 @@
         toFetch.subList(0, keys.size()).clear();
         requested.addAll(keys);
         lastProgressUs = nowUs;
-        sender.send(voter, new ObserveMessage.Want(seq, keys));
+        sender.send(voter, new ObserveMessage.FetchRequest(seq, keys));
         return false;
     }
 
--- a/fleet/src/main/java/walkpost/fleet/observe/SlotSyncServer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/SlotSyncServer.java
@@ -42,7 +42,7 @@
     }
 
     /** Compares an observer's leaf hashes and sends the digests of this voter's slots in the leaves that differ. */
-    void compareLeaves(String from, ObserveMessage.Leaves request, MessageSender sender) {
+    void compareLeaves(String from, ObserveMessage.LeafHashes request, MessageSender sender) {
         int nodes = request.nodes().length;
         if (nodes > HashTree.WIDTH || request.leaves().length != nodes * HashTree.WIDTH) {
             counters.increment("dropped.malformed");
@@ -70,12 +70,12 @@
         }
         int[] leafNumbers = differing.stream().mapToInt(Integer::intValue).toArray();
         for (int part = 0; part < parts.size(); part++) {
-            sender.send(from, new ObserveMessage.Stamps(request.seq(), part, parts.size(), leafNumbers, parts.get(part)));
+            sender.send(from, new ObserveMessage.SlotDigests(request.seq(), part, parts.size(), leafNumbers, parts.get(part)));
         }
     }
 
     /** Sends the requested slots. */
-    void sendSlots(String from, ObserveMessage.Want request, long awayUs, MessageSender sender) {
+    void sendSlots(String from, ObserveMessage.FetchRequest request, long awayUs, MessageSender sender) {
         List<Slot> slots = new ArrayList<>();
         for (Order.Key key : request.keys().subList(0, Math.min(MAX_KEYS_PER_FETCH, request.keys().size()))) {
             slots.addAll(SlotMerge.split(table.slot(key), null));
--- a/fleet/src/main/java/walkpost/fleet/observe/Subscribers.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Subscribers.java
@@ -68,18 +68,18 @@
     }
 
     /** Subscribes an observer and returns null, or returns the refusal. */
-    ObserveMessage.Later subscribe(long nowUs, String from, ObserveMessage.Join request) {
+    ObserveMessage.SubscriptionRefused subscribe(long nowUs, String from, ObserveMessage.Subscribe request) {
         Subscriber known = subscribers.get(from);
         if (known == null && subscribers.size() >= settings.maxObservers()) {
             counters.increment("joins.refused_full");
-            return new ObserveMessage.Later(request.seq(), ObserveMessage.Reason.FULL, settings.silenceUs() / 1_000);
+            return new ObserveMessage.SubscriptionRefused(request.seq(), ObserveMessage.RefusalReason.FULL, settings.silenceUs() / 1_000);
         }
         if (known == null && !subscriptionBucket.take(nowUs, 1)) {
             counters.increment("joins.refused_many");
             // Observers that are refused in a row get times to try again that follow each other at the admitted rate.
             refusedInARow = nowUs - lastRefusalUs > REFUSED_IN_A_ROW_US ? 0 : refusedInARow + 1;
             lastRefusalUs = nowUs;
-            return new ObserveMessage.Later(request.seq(), ObserveMessage.Reason.TOO_MANY_AT_ONCE,
+            return new ObserveMessage.SubscriptionRefused(request.seq(), ObserveMessage.RefusalReason.TOO_MANY_AT_ONCE,
                     1_000 + 1_000 * refusedInARow / settings.subscriptionsPerSecond());
         }
         var subscriber = new Subscriber(request.region() == null ? "" : request.region());
--- a/fleet/src/main/java/walkpost/fleet/observe/Inquiries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/VoterQueries.java
@@ -20,16 +20,16 @@
  *
  * <p>Not thread-safe: the owner's lock guards it.
  */
-public final class Inquiries {
+public final class VoterQueries {
     /** A query ends after this time with the replies that have arrived, and names the voters that have not replied. */
     private static final long TIMEOUT_US = 1_000_000;
     private static final Comparator<Entry> BY_VERSION = Comparator.comparingLong(Entry::incarnation).thenComparingLong(Entry::version);
 
     /** The entries that the voters returned, and the voters that have not replied in full. */
-    public record EntriesFound(List<Entry> entries, List<String> silent) { }
+    public record EntriesResult(List<Entry> entries, List<String> silent) { }
 
     /** How many of the counted members hold an order; names of some members that lack it; the voters that have not replied. */
-    public record Coverage(int held, int of, List<String> lacking, List<String> silent) { }
+    public record CoverageResult(int held, int of, List<String> lacking, List<String> silent) { }
 
     private static final class Query {
         private final boolean forEntries;
@@ -56,9 +56,9 @@
      *
      * @param sender sends a message to the voter of a name
      */
-    public long askEntries(long nowUs, String topic, Collection<String> voters, BiConsumer<String, ObserveMessage> sender) {
+    public long queryEntries(long nowUs, String topic, Collection<String> voters, BiConsumer<String, ObserveMessage> sender) {
         openQueries.put(++lastNumber, new Query(true, nowUs, voters));
-        voters.forEach(to -> sender.accept(to, new ObserveMessage.AskEntries(lastNumber, topic)));
+        voters.forEach(to -> sender.accept(to, new ObserveMessage.EntriesQuery(lastNumber, topic)));
         return lastNumber;
     }
 
@@ -67,15 +67,15 @@
      *
      * @param sender sends a message to the voter of a name
      */
-    public long askHeld(long nowUs, Order.Key key, String id, Collection<String> voters, BiConsumer<String, ObserveMessage> sender) {
+    public long queryCoverage(long nowUs, Order.Key key, String id, Collection<String> voters, BiConsumer<String, ObserveMessage> sender) {
         openQueries.put(++lastNumber, new Query(false, nowUs, voters));
-        voters.forEach(to -> sender.accept(to, new ObserveMessage.AskHeld(lastNumber, key, id)));
+        voters.forEach(to -> sender.accept(to, new ObserveMessage.CoverageQuery(lastNumber, key, id)));
         return lastNumber;
     }
 
     /** Takes a voter's reply; ignores all other messages. */
-    public void received(long nowUs, String from, ObserveMessage message) {
-        if (message instanceof ObserveMessage.Entries reply) {
+    public void receive(long nowUs, String from, ObserveMessage message) {
+        if (message instanceof ObserveMessage.EntriesReply reply) {
             Query query = openQueries.get(reply.seq());
             if (query == null || !query.forEntries || !query.silent.contains(from)
                     || !MessageSizes.isValidPart(reply.part(), reply.parts())) {
@@ -87,7 +87,7 @@
             if (parts.cardinality() == reply.parts()) {
                 query.silent.remove(from);
             }
-        } else if (message instanceof ObserveMessage.Held reply) {
+        } else if (message instanceof ObserveMessage.CoverageReply reply) {
             Query query = openQueries.get(reply.seq());
             if (query != null && !query.forEntries && query.silent.remove(from)) {
                 query.held += reply.held();
@@ -98,7 +98,7 @@
     }
 
     /** Delivers the results, by the number of the query, of the queries that all voters have answered or whose time has passed. */
-    public void done(long nowUs, BiConsumer<Long, EntriesFound> entries, BiConsumer<Long, Coverage> coverage) {
+    public void deliverResults(long nowUs, BiConsumer<Long, VoterQueries.EntriesResult> entries, BiConsumer<Long, VoterQueries.CoverageResult> coverage) {
         for (Map.Entry<Long, Query> each : List.copyOf(openQueries.entrySet())) {
             Query query = each.getValue();
             if (!query.silent.isEmpty() && nowUs < query.deadlineUs) {
@@ -106,9 +106,9 @@
             }
             openQueries.remove(each.getKey());
             if (query.forEntries) {
-                entries.accept(each.getKey(), new EntriesFound(new ArrayList<>(query.found.values()), List.copyOf(query.silent)));
+                entries.accept(each.getKey(), new VoterQueries.EntriesResult(new ArrayList<>(query.found.values()), List.copyOf(query.silent)));
             } else {
-                coverage.accept(each.getKey(), new Coverage(query.held, query.of, List.copyOf(query.lacking),
+                coverage.accept(each.getKey(), new VoterQueries.CoverageResult(query.held, query.of, List.copyOf(query.lacking),
                         List.copyOf(query.silent)));
             }
         }
--- a/fleet/src/main/java/walkpost/fleet/shell/Ages.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Ages.java
@@ -19,11 +19,11 @@
     }
 
     static ObserveMessage aged(ObserveMessage message, long waitedUs) {
-        if (message instanceof ObserveMessage.Report report) {
-            return new ObserveMessage.Report(aged(report.facts(), waitedUs));
+        if (message instanceof ObserveMessage.ReportEntries report) {
+            return new ObserveMessage.ReportEntries(aged(report.facts(), waitedUs));
         }
-        return message instanceof ObserveMessage.Entries told
-                ? new ObserveMessage.Entries(told.seq(), told.part(), told.parts(), aged(told.facts(), waitedUs)) : message;
+        return message instanceof ObserveMessage.EntriesReply told
+                ? new ObserveMessage.EntriesReply(told.seq(), told.part(), told.parts(), aged(told.facts(), waitedUs)) : message;
     }
 
     private static List<Entry> aged(List<Entry> entries, long waitedUs) {
--- a/fleet/src/main/java/walkpost/fleet/shell/Desk.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/Desk.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
 import walkpost.fleet.copy.Order;
-import walkpost.fleet.observe.Inquiries;
 import walkpost.fleet.observe.ObserveMessage;
+import walkpost.fleet.observe.VoterQueries;
 
-/** Works {@link Inquiries}: who waits for the answer to which question. Any thread may call; nothing is sent or answered under its lock. */
+/** Works {@link VoterQueries}: who waits for the answer to which question. Any thread may call; nothing is sent or answered under its lock. */
 final class Desk {
     private final List<String> voters;
     private final Clock clock;
     private final BiConsumer<String, ObserveMessage> sender;
     /** Guarded by this object, as are the next three. */
-    private final Inquiries inquiries = new Inquiries();
+    private final VoterQueries inquiries = new VoterQueries();
     private final Map<Long, CompletableFuture<TopicEntries>> entries = new HashMap<>();
     private final Map<Long, CompletableFuture<Coverage>> held = new HashMap<>();
     private boolean ended;
@@ -35,7 +35,7 @@
             if (ended) {
                 return CompletableFuture.completedFuture(new TopicEntries(List.of(), voters));
             }
-            entries.put(inquiries.askEntries(clock.nowUs(), topic, voters,
+            entries.put(inquiries.queryEntries(clock.nowUs(), topic, voters,
                     (to, message) -> out.add(() -> sender.accept(to, message))), answer);
         }
         out.forEach(Runnable::run);
@@ -49,7 +49,7 @@
             if (ended) {
                 return CompletableFuture.completedFuture(new Coverage(0, 0, List.of(), voters));
             }
-            held.put(inquiries.askHeld(clock.nowUs(), key, id, voters, (to, message) -> out.add(() -> sender.accept(to, message))), answer);
+            held.put(inquiries.queryCoverage(clock.nowUs(), key, id, voters, (to, message) -> out.add(() -> sender.accept(to, message))), answer);
         }
         out.forEach(Runnable::run);
         return answer;
@@ -57,12 +57,12 @@
 
     /** Returns whether a message is an answer for here. */
     static boolean takes(ObserveMessage message) {
-        return message instanceof ObserveMessage.Entries || message instanceof ObserveMessage.Held;
+        return message instanceof ObserveMessage.EntriesReply || message instanceof ObserveMessage.CoverageReply;
     }
 
     void received(String from, ObserveMessage message) {
         synchronized (this) {
-            inquiries.received(clock.nowUs(), from, message);
+            inquiries.receive(clock.nowUs(), from, message);
         }
         tick();
     }
@@ -74,7 +74,7 @@
             if (entries.isEmpty() && held.isEmpty()) {
                 return;
             }
-            inquiries.done(clock.nowUs(), (number, found) -> {
+            inquiries.deliverResults(clock.nowUs(), (number, found) -> {
                 CompletableFuture<TopicEntries> asker = entries.remove(number);
                 answers.add(() -> asker.complete(new TopicEntries(found.entries(), found.silent())));
             }, (number, found) -> {
--- a/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/FeedLane.java
@@ -74,7 +74,7 @@
             }
         } else if (action instanceof FeedAction.Propose propose) {
             shards.propose(propose.key(), propose.id(), propose.replaces(), propose.payload());
-        } else if (action instanceof FeedAction.Offer offer) {
+        } else if (action instanceof FeedAction.OfferSlots offer) {
             shards.offer(offer.slots());
         }
     }
@@ -90,7 +90,7 @@
     void received(String from, ObserveMessage message, int length) {
         if (Desk.takes(message)) {
             desk.received(from, message);
-        } else if (message instanceof ObserveMessage.AskEntries question && question.topic() != null) {
+        } else if (message instanceof ObserveMessage.EntriesQuery question && question.topic() != null) {
             asked(from, question, length);
         } else {
             turns.put(waitedUs -> new FeedEvent.Received(from, Ages.aged(message, waitedUs)), length);
@@ -98,11 +98,11 @@
     }
 
     /** Not on the loop: shards may be busy. */
-    private void asked(String from, ObserveMessage.AskEntries question, int length) {
+    private void asked(String from, ObserveMessage.EntriesQuery question, int length) {
         try {
             pool.execute(() -> {
                 List<Entry> own = shards.own(question.topic());
-                turns.put(waitedUs -> new FeedEvent.Asked(from, question, own), length);
+                turns.put(waitedUs -> new FeedEvent.EntriesQueried(from, question, own), length);
             });
         } catch (RejectedExecutionException e) {
             counters.add("after_the_end", 1);
@@ -117,12 +117,12 @@
     void peers(ShardEvent.LivePeers now) {
         var others = new HashSet<>(now.roundTripUs().keySet());
         others.retainAll(voters);
-        turns.put(new FeedEvent.Voters(others));
+        turns.put(new FeedEvent.LiveVoters(others));
     }
 
     /** Slots of this voter's shards have changed, and are on disk where there is one. */
     void changed(List<Slot> slots) {
-        turns.put(new FeedEvent.Changed(slots));
+        turns.put(new FeedEvent.SlotsChanged(slots));
     }
 
     void level(boolean level) {
--- a/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
+++ b/fleet/src/main/java/walkpost/fleet/shell/ObserverLane.java
@@ -76,7 +76,7 @@
             });
         } else if (action instanceof ObserverAction.CaughtUpChanged now) {
             changed(now.caughtUp());
-        } else if (action instanceof ObserverAction.Lives lives) {
+        } else if (action instanceof ObserverAction.ObserverCountsChanged lives) {
             tell(listener -> listener.lives(lives.byRegion()), () -> toldLives = lives.byRegion());
         } else if (action instanceof ObserverAction.Acknowledged acknowledged) {
             Order order = acknowledged.order();
@@ -143,7 +143,7 @@
     void peers(ShardEvent.LivePeers now) {
         var living = new LinkedHashMap<>(now.roundTripUs());
         living.keySet().retainAll(voters);
-        turns.put(new ObserverEvent.Voters(living));
+        turns.put(new ObserverEvent.LiveVoters(living));
     }
 
     void tell(String topic, String subject, String payload) {
--- a/fleet/src/test/java/walkpost/fleet/observe/ObserverNetwork.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/ObserverNetwork.java
@@ -61,7 +61,7 @@
         feedActions.put(name, new ArrayList<>());
         Set<String> others = new TreeSet<>(voters);
         others.remove(name);
-        at(name, new FeedEvent.Voters(others));
+        at(name, new FeedEvent.LiveVoters(others));
         at(name, new FeedEvent.CaughtUpChanged(true));
     }
 
@@ -72,7 +72,7 @@
         actions.put(name, new ArrayList<>());
         Map<String, Long> live = new TreeMap<>();
         voters.forEach(voter -> live.put(voter, MILLI_US));
-        at(name, new ObserverEvent.Voters(live));
+        at(name, new ObserverEvent.LiveVoters(live));
         return observer;
     }
 
@@ -136,7 +136,7 @@
     /** Changes a slot in the shards of the given voters, or of all voters if none are given. */
     void changeSlot(Slot slot, String... changedVoters) {
         (changedVoters.length == 0 ? List.copyOf(feeds.keySet()) : List.of(changedVoters)).forEach(
-                voter -> at(voter, new FeedEvent.Changed(List.of(slot))));
+                voter -> at(voter, new FeedEvent.SlotsChanged(List.of(slot))));
     }
 
     /** Returns the payloads that an observer has published for a key, in order. */
--- a/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
+++ b/fleet/src/test/java/walkpost/fleet/observe/ObserverTest.java
@@ -83,19 +83,19 @@
             var observer = new Observer(ObserveSettings.defaults(), new Life("o" + i, 1), "", Set.of("a"), i);
             List<ObserveMessage> sent = new ArrayList<>();
             long refusedUs = -1;
-            observer.handle(0, new ObserverEvent.Voters(Map.of("a", 1_000L)), action -> { });
+            observer.handle(0, new ObserverEvent.LiveVoters(Map.of("a", 1_000L)), action -> { });
             for (long nowUs = 0; nowUs < 30 * SECOND_US; nowUs += 50 * MILLI_US) {
                 sent.clear();
                 observer.handle(nowUs, new ObserverEvent.Tick(), action -> addMessage(action, sent));
                 for (ObserveMessage message : List.copyOf(sent)) {
-                    if (message instanceof ObserveMessage.Beat heartbeat) {
-                        observer.handle(nowUs, refusal(heartbeat.seq(), ObserveMessage.Reason.UNKNOWN, 0),
+                    if (message instanceof ObserveMessage.Heartbeat heartbeat) {
+                        observer.handle(nowUs, refusal(heartbeat.seq(), ObserveMessage.RefusalReason.UNKNOWN, 0),
                                 action -> addMessage(action, sent));
-                    } else if (message instanceof ObserveMessage.Join request && refusedUs < 0) {
+                    } else if (message instanceof ObserveMessage.Subscribe request && refusedUs < 0) {
                         refusedUs = nowUs;
-                        observer.handle(nowUs, refusal(request.seq(), ObserveMessage.Reason.FULL, 3_000),
+                        observer.handle(nowUs, refusal(request.seq(), ObserveMessage.RefusalReason.FULL, 3_000),
                                 action -> addMessage(action, sent));
-                    } else if (message instanceof ObserveMessage.Join) {
+                    } else if (message instanceof ObserveMessage.Subscribe) {
                         waitsUs.add(nowUs - refusedUs);
                         nowUs = 30 * SECOND_US;
                     }
@@ -228,26 +228,26 @@
         network.changeSlot(Slot.empty(KEY));
         network.changeSlot(inForce);
         network.run(3 * SECOND_US);
-        assertThat(network.feedActions.get("a")).contains(new FeedAction.Offer(List.of(removed)));
+        assertThat(network.feedActions.get("a")).contains(new FeedAction.OfferSlots(List.of(removed)));
     }
 
     @Test
     void comparisonThatChangesNothingIsNotRepeatedAtOnce() {
         ObserverNetwork network = subscribedObserver();
         // The observer holds an order that the voters' shards do not accept, for example because they are full.
-        network.isLost = message -> message.message() instanceof ObserveMessage.Taken;
+        network.isLost = message -> message.message() instanceof ObserveMessage.PushAck;
         network.at(OBSERVER, received("a", new ObserveMessage.Push(1, 0, List.of(slot(KEY, "o1")))));
-        int before = network.messages(ObserveMessage.Beat.class).size();
+        int before = network.messages(ObserveMessage.Heartbeat.class).size();
         network.run(10 * SECOND_US);
         assertThat(network.messages(ObserveMessage.Offer.class)).isNotEmpty();
-        assertThat(network.messages(ObserveMessage.Beat.class).size() - before).isLessThan(20);
+        assertThat(network.messages(ObserveMessage.Heartbeat.class).size() - before).isLessThan(20);
     }
 
     @Test
     void refusalIsPassedOnOnlyIfNoAskedVoterMayStillCarryOutTheOrder() {
         ObserverNetwork network = subscribedObserver();
         List<String> feeds = network.observers.get(OBSERVER).feeds();
-        network.isLost = message -> message.message() instanceof ObserveMessage.Answer && message.from().equals(feeds.get(0));
+        network.isLost = message -> message.message() instanceof ObserveMessage.ForwardOrderReply && message.from().equals(feeds.get(0));
         network.at(OBSERVER, new ObserverEvent.Propose(KEY, "o1", "", "1"));
         network.run(1_000 * MILLI_US);
         assertThat(network.feedActions.get(feeds.get(0))).hasSize(1);
@@ -263,12 +263,12 @@
     void restartedVoterCannotRefuseForItsFormerLife() {
         ObserverNetwork network = subscribedObserver();
         String first = network.observers.get(OBSERVER).feeds().get(0);
-        network.isLost = message -> message.message() instanceof ObserveMessage.Answer;
+        network.isLost = message -> message.message() instanceof ObserveMessage.ForwardOrderReply;
         network.at(OBSERVER, new ObserverEvent.Propose(KEY, "o1", "", "1"));
         network.run(100 * MILLI_US);
         assertThat(network.feedActions.get(first)).hasSize(1);
         network.addVoter(first, "north");
-        network.isLost = message -> message.message() instanceof ObserveMessage.Call && !message.to().equals(first);
+        network.isLost = message -> message.message() instanceof ObserveMessage.ForwardOrder && !message.to().equals(first);
         network.run(500 * MILLI_US);
         network.at(first, new FeedEvent.Refused("o1", new FleetException.Overtaken("o1", "o9")));
         network.run(3 * SECOND_US);
@@ -327,17 +327,17 @@
         for (long seq = -2; seq < 40; seq++) {
             for (int length : new int[] {1, 15, 17, 300}) {
                 for (ObserveMessage message : List.of(
-                        new ObserveMessage.Echo(seq, true, -5, new long[length], Map.of()),
-                        new ObserveMessage.Stamps(seq, -1, -1, new int[] {-1, 256, Integer.MAX_VALUE}, List.of(digest)),
-                        new ObserveMessage.Stamps(seq, 3, 2, new int[length], List.of()),
-                        new ObserveMessage.Stamps(seq, Integer.MAX_VALUE - 1, Integer.MAX_VALUE, new int[length], List.of()),
-                        new ObserveMessage.Stamps(seq, 0, 0, new int[0], List.of()),
-                        new ObserveMessage.Later(seq + 1_000, ObserveMessage.Reason.UNKNOWN, Long.MIN_VALUE),
-                        new ObserveMessage.Welcome(seq + 1_000, Map.of()),
-                        new ObserveMessage.Answer("none", -1, -1, null, null, null, null, true),
+                        new ObserveMessage.HeartbeatReply(seq, true, -5, new long[length], Map.of()),
+                        new ObserveMessage.SlotDigests(seq, -1, -1, new int[] {-1, 256, Integer.MAX_VALUE}, List.of(digest)),
+                        new ObserveMessage.SlotDigests(seq, 3, 2, new int[length], List.of()),
+                        new ObserveMessage.SlotDigests(seq, Integer.MAX_VALUE - 1, Integer.MAX_VALUE, new int[length], List.of()),
+                        new ObserveMessage.SlotDigests(seq, 0, 0, new int[0], List.of()),
+                        new ObserveMessage.SubscriptionRefused(seq + 1_000, ObserveMessage.RefusalReason.UNKNOWN, Long.MIN_VALUE),
+                        new ObserveMessage.Subscribed(seq + 1_000, Map.of()),
+                        new ObserveMessage.ForwardOrderReply("none", -1, -1, null, null, null, null, true),
                         new ObserveMessage.Slots(seq, -1, List.of()),
-                        new ObserveMessage.Taken(seq),
-                        new ObserveMessage.Held(seq, -1, -1, List.of()))) {
+                        new ObserveMessage.PushAck(seq),
+                        new ObserveMessage.CoverageReply(seq, -1, -1, List.of()))) {
                     network.at(OBSERVER, received("a", message));
                     network.at(OBSERVER, received("b", message));
                     network.at(OBSERVER, received("nobody", message));
@@ -358,29 +358,29 @@
     void malformedRepliesToOwnRequestsNeitherThrowNorChangeAnything() {
         ObserverNetwork network = subscribedObserver();
         network.isLost = message -> message.message() instanceof ObserveMessage.Push
-                || message.message() instanceof ObserveMessage.Echo;
+                || message.message() instanceof ObserveMessage.HeartbeatReply;
         network.changeSlot(slot(KEY, "o1"));
         network.run(2_200 * MILLI_US);
         for (ObserverNetwork.Sent sent : List.copyOf(network.sent)) {
-            if (sent.message() instanceof ObserveMessage.Beat request) {
+            if (sent.message() instanceof ObserveMessage.Heartbeat request) {
                 for (int length : new int[] {1, HashTree.WIDTH - 1, HashTree.WIDTH + 1}) {
                     network.at(OBSERVER, received(sent.to(),
-                            new ObserveMessage.Echo(request.seq(), true, Long.MIN_VALUE, new long[length], Map.of())));
+                            new ObserveMessage.HeartbeatReply(request.seq(), true, Long.MIN_VALUE, new long[length], Map.of())));
                 }
             }
         }
         assertThat(network.publishedPayloads(OBSERVER, KEY)).isEmpty();
-        network.isLost = message -> message.message() instanceof ObserveMessage.Stamps;
+        network.isLost = message -> message.message() instanceof ObserveMessage.SlotDigests;
         network.run(3 * SECOND_US);
         for (ObserverNetwork.Sent sent : List.copyOf(network.sent)) {
-            if (sent.message() instanceof ObserveMessage.Leaves request) {
+            if (sent.message() instanceof ObserveMessage.LeafHashes request) {
                 for (int[] part : new int[][] {{-1, 1}, {1, 1}, {0, -1}, {Integer.MAX_VALUE - 1, Integer.MAX_VALUE}}) {
-                    network.at(OBSERVER, received(sent.to(), new ObserveMessage.Stamps(request.seq(), part[0], part[1],
+                    network.at(OBSERVER, received(sent.to(), new ObserveMessage.SlotDigests(request.seq(), part[0], part[1],
                             new int[] {-7, 999}, List.of(new ShardMessage.SlotDigest(KEY, 0)))));
                 }
             }
         }
-        assertThat(network.messages(ObserveMessage.Want.class)).isEmpty();
+        assertThat(network.messages(ObserveMessage.FetchRequest.class)).isEmpty();
         network.isLost = message -> false;
         network.run(4 * SECOND_US);
         assertThat(network.publishedPayloads(OBSERVER, KEY)).containsExactly("\"o1\"");
@@ -390,18 +390,18 @@
     void digestPartOfAnImpossibleCountCostsNoMemory() {
         ObserverNetwork network = subscribedObserver();
         network.isLost = message -> message.message() instanceof ObserveMessage.Push
-                || message.message() instanceof ObserveMessage.Stamps;
+                || message.message() instanceof ObserveMessage.SlotDigests;
         network.changeSlot(slot(KEY, "o1"));
         network.run(2_500 * MILLI_US);
         var memory = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         long before = memory.getCurrentThreadAllocatedBytes();
         for (ObserverNetwork.Sent sent : List.copyOf(network.sent)) {
-            if (sent.message() instanceof ObserveMessage.Leaves request) {
+            if (sent.message() instanceof ObserveMessage.LeafHashes request) {
                 network.at(OBSERVER, received(sent.to(),
-                        new ObserveMessage.Stamps(request.seq(), Integer.MAX_VALUE - 1, Integer.MAX_VALUE, new int[0], List.of())));
+                        new ObserveMessage.SlotDigests(request.seq(), Integer.MAX_VALUE - 1, Integer.MAX_VALUE, new int[0], List.of())));
             }
         }
-        assertThat(network.messages(ObserveMessage.Leaves.class)).isNotEmpty();
+        assertThat(network.messages(ObserveMessage.LeafHashes.class)).isNotEmpty();
         assertThat(memory.getCurrentThreadAllocatedBytes() - before).isLessThan(16 << 20);
     }
 
@@ -409,8 +409,8 @@
         return new ObserverEvent.Received(from, message);
     }
 
-    private static ObserverEvent refusal(long seq, ObserveMessage.Reason reason, long retryMs) {
-        return received("a", new ObserveMessage.Later(seq, reason, retryMs));
+    private static ObserverEvent refusal(long seq, ObserveMessage.RefusalReason reason, long retryMs) {
+        return received("a", new ObserveMessage.SubscriptionRefused(seq, reason, retryMs));
     }
 
     private static void addMessage(ObserverAction action, List<ObserveMessage> messages) {
--- a/fleet/src/test/java/walkpost/fleet/scale/Voter.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Voter.java
@@ -57,7 +57,7 @@
             }
         }
         if (feed != null && !host().disk().isEmpty()) {
-            handle(new FeedEvent.Changed(List.copyOf(host().disk().values())));
+            handle(new FeedEvent.SlotsChanged(List.copyOf(host().disk().values())));
         }
         super.begin();
     }
@@ -78,7 +78,7 @@
         lanes.forEach(lane -> lane.take(peers));
         if (feed != null && !voters.keySet().equals(others)) {
             others = Set.copyOf(voters.keySet());
-            handle(new FeedEvent.Voters(others));
+            handle(new FeedEvent.LiveVoters(others));
         }
     }
 
@@ -150,7 +150,7 @@
             } else if (action instanceof FeedAction.Propose propose) {
                 observersOrders.add(propose.id());
                 order(propose.key(), propose.id(), propose.replaces(), propose.payload());
-            } else if (action instanceof FeedAction.Offer offer) {
+            } else if (action instanceof FeedAction.OfferSlots offer) {
                 Map<Integer, List<Slot>> byShard = new HashMap<>();
                 offer.slots().forEach(slot -> byShard.computeIfAbsent(shardOf(slot.key()), shard -> new ArrayList<>()).add(slot));
                 byShard.forEach((shard, slots) -> lanes.get(shard).take(new ShardEvent.SlotsOffered(slots)));
@@ -245,7 +245,7 @@
                 }
             }
             if (feed != null) {
-                handle(new FeedEvent.Changed(slots));
+                handle(new FeedEvent.SlotsChanged(slots));
             }
         }
     }
--- a/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
+++ b/fleet/src/test/java/walkpost/fleet/scale/Watcher.java
@@ -37,7 +37,7 @@
                 voters.put(name, trip);
             }
         });
-        handle(new ObserverEvent.Voters(voters));
+        handle(new ObserverEvent.LiveVoters(voters));
     }
 
     @Override
--- a/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/CodecTest.java
@@ -26,6 +26,7 @@
 import walkpost.fleet.member.Life;
 import walkpost.fleet.member.MemberMessage;
 import walkpost.fleet.observe.ObserveMessage;
+import walkpost.fleet.observe.ObserveMessage.RefusalReason;
 
 /** Messages as bytes: what is not from this cluster's members, or not understood, is dropped under its cause and never an error. */
 final class CodecTest {
@@ -95,20 +96,20 @@
         var order = new Order(key, "o1", 2, List.of("o0"), "{\"out\":true}", null, FROM);
         var slots = List.of(new Slot(key, List.of(order), Map.of("o0", 1L), 0), Slot.empty(key));
         var entries = List.of(new Entry(new Entry.Key("load", "n1", "n1"), 17, 1, null, 250));
-        return List.of(new ObserveMessage.Join(1, "north", true), new ObserveMessage.Welcome(1, Map.of("v1", "north")),
-                new ObserveMessage.Later(1, ObserveMessage.Reason.FULL, 500), new ObserveMessage.Leave(),
-                new ObserveMessage.Beat(2, false, -7, Long.MAX_VALUE / 4),
-                new ObserveMessage.Echo(2, true, 0, new long[] {1, -2, Long.MIN_VALUE}, Map.of("north", 3, "", 1)),
-                new ObserveMessage.Leaves(2, new int[] {4}, new long[] {-1, 5}),
-                new ObserveMessage.Stamps(2, 0, 2, new int[] {64}, List.of(new ShardMessage.SlotDigest(key, -9))),
-                new ObserveMessage.Want(2, List.of(key)), new ObserveMessage.Slots(2, 40, slots), new ObserveMessage.Push(8, 40, slots),
-                new ObserveMessage.Taken(8), new ObserveMessage.Offer(40, slots),
-                new ObserveMessage.Call(key, "o2", null, null, 1), new ObserveMessage.Call(key, "o2", "", "{}", 1L << 61),
-                new ObserveMessage.Answer("o1", 1, 2, order, null, null, null, false),
-                new ObserveMessage.Answer("o1", 1, 2, null, "Busy", "it crosses", "wait", true), new ObserveMessage.Report(entries),
-                new ObserveMessage.AskEntries(3, "load"), new ObserveMessage.Entries(3, 0, 1, entries),
-                new ObserveMessage.AskHeld(4, key, "o1"),
-                new ObserveMessage.Held(4, 5, 6, List.of("n9")), new ObserveMessage.Sum("north", Map.of("south", 12)));
+        return List.of(new ObserveMessage.Subscribe(1, "north", true), new ObserveMessage.Subscribed(1, Map.of("v1", "north")),
+                new ObserveMessage.SubscriptionRefused(1, RefusalReason.FULL, 500), new ObserveMessage.Unsubscribe(),
+                new ObserveMessage.Heartbeat(2, false, -7, Long.MAX_VALUE / 4),
+                new ObserveMessage.HeartbeatReply(2, true, 0, new long[] {1, -2, Long.MIN_VALUE}, Map.of("north", 3, "", 1)),
+                new ObserveMessage.LeafHashes(2, new int[] {4}, new long[] {-1, 5}),
+                new ObserveMessage.SlotDigests(2, 0, 2, new int[] {64}, List.of(new ShardMessage.SlotDigest(key, -9))),
+                new ObserveMessage.FetchRequest(2, List.of(key)), new ObserveMessage.Slots(2, 40, slots), new ObserveMessage.Push(8, 40, slots),
+                new ObserveMessage.PushAck(8), new ObserveMessage.Offer(40, slots),
+                new ObserveMessage.ForwardOrder(key, "o2", null, null, 1), new ObserveMessage.ForwardOrder(key, "o2", "", "{}", 1L << 61),
+                new ObserveMessage.ForwardOrderReply("o1", 1, 2, order, null, null, null, false),
+                new ObserveMessage.ForwardOrderReply("o1", 1, 2, null, "Busy", "it crosses", "wait", true), new ObserveMessage.ReportEntries(entries),
+                new ObserveMessage.EntriesQuery(3, "load"), new ObserveMessage.EntriesReply(3, 0, 1, entries),
+                new ObserveMessage.CoverageQuery(4, key, "o1"),
+                new ObserveMessage.CoverageReply(4, 5, 6, List.of("n9")), new ObserveMessage.ObserverCounts("north", Map.of("south", 12)));
     }
 
     @Test
--- a/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
+++ b/fleet/src/test/java/walkpost/fleet/shell/ObservingTest.java
@@ -410,15 +410,15 @@
         stranger.ping(observer);
         stranger.ping(all);
         second.ping(voter);
-        stranger.say(all, new ObserveMessage.Leave());
+        stranger.say(all, new ObserveMessage.Unsubscribe());
         stranger.say(observer, new ShardMessage.Promised(1, "a"));
         stranger.say(observer, new ObserveMessage.Push(1, 0, List.of(new Slot(KEY,
                 List.of(new Order(KEY, "forged", 1, List.of(), OUT, null, stranger.life)), Map.of(), 0))));
-        stranger.say(voter, new ObserveMessage.Sum("north", Map.of("north", 1_000)));
-        second.say(voter, new ObserveMessage.Join(1, "north", true));
-        stranger.say(all, new ObserveMessage.Taken(7));
+        stranger.say(voter, new ObserveMessage.ObserverCounts("north", Map.of("north", 1_000)));
+        second.say(voter, new ObserveMessage.Subscribe(1, "north", true));
+        stranger.say(all, new ObserveMessage.PushAck(7));
         var former = new Forger("o9", 4);
-        former.say(voter, new ObserveMessage.Join(1, "north", true));
+        former.say(voter, new ObserveMessage.Subscribe(1, "north", true));
         stranger.ping(all);
         stranger.ping(observer);
         stranger.ping(voter);
--- a/fleet/src/test/java/walkpost/fleet/sim/Node.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/Node.java
@@ -318,10 +318,10 @@
                 living.keySet().retainAll(fleet.configured);
             }
             if (feed != null && isRunning()) {
-                feed.handle(new FeedEvent.Voters(living.keySet()));
+                feed.handle(new FeedEvent.LiveVoters(living.keySet()));
             }
             if (observer != null && isRunning()) {
-                observer.handle(new ObserverEvent.Voters(living));
+                observer.handle(new ObserverEvent.LiveVoters(living));
             }
             ShardEvent.LivePeers peers = new ShardEvent.LivePeers(living);
             for (ShardReplica replica : replicas) {
--- a/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
@@ -60,7 +60,7 @@
 
     /** Records that an observer is about to read a message of a voter. */
     void read(SimulatedObserver observer, SentMessage sent) {
-        if (sent.caughtUp && sent.message instanceof ObserveMessage.Echo) {
+        if (sent.caughtUp && sent.message instanceof ObserveMessage.HeartbeatReply) {
             observer.view.confirmations.add(sent);
             observer.view.confirmedUs = Math.max(observer.view.confirmedUs, sent.atUs);
         }
--- a/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/PlantedFault.java
@@ -123,9 +123,9 @@
     OUTDATED_VOTER_TAKEN_FOR_CAUGHT_UP(Layout.FEW_VOTE, () -> new FaultInjection() {
         @Override
         List<ObserverEvent> replaceEvent(Node node, ObserverEvent event) {
-            return List.of(event instanceof ObserverEvent.Received received && received.message() instanceof ObserveMessage.Echo echo
+            return List.of(event instanceof ObserverEvent.Received received && received.message() instanceof ObserveMessage.HeartbeatReply echo
                     ? new ObserverEvent.Received(received.from(),
-                            new ObserveMessage.Echo(echo.seq(), true, 0, echo.nodes(), echo.lives())) : event);
+                            new ObserveMessage.HeartbeatReply(echo.seq(), true, 0, echo.nodes(), echo.lives())) : event);
         }
     }, Rule.LEVEL, Rule.KEPT),
 
@@ -143,7 +143,7 @@
         @Override
         List<ObserverAction> replaceAction(Node node, ObserverAction action) {
             List<ObserverAction> all = new ArrayList<>(List.of(action));
-            if (action instanceof ObserverAction.Send send && send.message() instanceof ObserveMessage.Taken) {
+            if (action instanceof ObserverAction.Send send && send.message() instanceof ObserveMessage.PushAck) {
                 lastPushed.get(node).forEach(slot -> all.add(
                         new ObserverAction.EffectiveOrderChanged(slot.key(), SlotMerge.effectiveOrder(slot))));
             }
@@ -157,12 +157,12 @@
 
         @Override
         List<FeedAction> replaceAction(Node node, FeedAction action) {
-            if (action instanceof FeedAction.Send send && send.message() instanceof ObserveMessage.Echo echo) {
+            if (action instanceof FeedAction.Send send && send.message() instanceof ObserveMessage.HeartbeatReply echo) {
                 if (echo.nodes().length == 0) {
                     equalObservers.add(send.to());
                 }
                 return List.of(equalObservers.contains(send.to()) ? new FeedAction.Send(send.to(),
-                        new ObserveMessage.Echo(echo.seq(), echo.level(), echo.awayUs(), new long[0], echo.lives())) : action);
+                        new ObserveMessage.HeartbeatReply(echo.seq(), echo.level(), echo.awayUs(), new long[0], echo.lives())) : action);
             }
             boolean lost = action instanceof FeedAction.Send send && send.message() instanceof ObserveMessage.Push && pushCount++ % 3 > 0;
             return lost ? List.of() : List.of(action);
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedFeed.java
@@ -58,7 +58,7 @@
 
     /** Passes on the slots of a shard that have changed and, if there is a directory, are on disk. */
     void slotsChanged(List<Slot> slots) {
-        handle(new FeedEvent.Changed(slots));
+        handle(new FeedEvent.SlotsChanged(slots));
     }
 
     /** Passes on an action of a shard that the process has carried out. */
@@ -89,7 +89,7 @@
         } else if (action instanceof FeedAction.Propose propose) {
             replicaOf(propose.key().topic(), propose.key().subject()).handle(
                     new ShardEvent.Propose(propose.key(), propose.id(), propose.replaces(), propose.payload()));
-        } else if (action instanceof FeedAction.Offer offer) {
+        } else if (action instanceof FeedAction.OfferSlots offer) {
             fleet.time.log("%s is offered %s", owner.node().name, offer.slots());
             offer.slots().stream().collect(Collectors.groupingBy(slot -> replicaOf(slot.key().topic(), slot.key().subject()).shard))
                     .forEach((shard, slots) -> owner.replicas.get(shard).handle(new ShardEvent.SlotsOffered(slots)));
--- a/fleet/src/test/java/walkpost/fleet/sim/SimulatedFleet.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/SimulatedFleet.java
@@ -203,7 +203,7 @@
     /** Sends a message from a voter's feed to an observer or to another voter. */
     void send(SimulatedFeed from, FeedAction.Send send) {
         Node sender = from.owner.node();
-        if (!(send.message() instanceof ObserveMessage.Sum)) {
+        if (!(send.message() instanceof ObserveMessage.ObserverCounts)) {
             time.log("%s to %s: %s", sender.name, send.to(), send.message());
         }
         ObserverOracle.SentMessage sent = oracle.observers.sent(from, send.message());
