--- a/fleet/src/main/java/walkpost/fleet/FleetException.java
+++ b/fleet/src/main/java/walkpost/fleet/FleetException.java
@@ -87,7 +87,7 @@
 
         /** Names the order, and what is in force instead of the order that it was to replace. */
         public Overtaken(String order, String inForce) {
-            super(order + " replaces an order that is not in force; in force is " + inForce, "look at 'orders' and decide anew");
+            super(order + " replaces what no longer stands; now there is " + inForce, "look at 'orders' and decide anew");
         }
     }
 
@@ -98,7 +98,7 @@
 
         /** Names the order and the other order that is being decided. */
         public Busy(String order, String other) {
-            super(order + " conflicts with " + other + ", which is being decided", "wait a second, look at 'orders' and decide anew");
+            super(order + " crosses " + other, "wait a second, look at 'orders' and decide anew");
             sameOrder = order.equals(other);
         }
 
@@ -135,7 +135,7 @@
 
         /** Names the resource and its bound. */
         public Full(String resource, long bound) {
-            super(resource + ": no more than " + bound + " are allowed", "wait until removals are forgotten, or remove less often");
+            super(resource + ": no more than " + bound, "wait until removals are forgotten, or remove less often");
         }
     }
 
@@ -155,7 +155,7 @@
 
         /** Names the order, the observer, and when its copy was last known to equal a voter's. */
         public NoVoter(String order, String observer, String age) {
-            super(order + " reached no voter from " + observer + "; the copy of the observer was last in sync: " + age,
+            super(order + " reached no voter from " + observer + ", which last was sure of its copy " + age,
                     "ask a member that reaches a voter; see to the voters that 'fleet' does not show as alive");
         }
     }
--- a/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/OrderCoordinator.java
@@ -158,14 +158,13 @@
         } else if (call.key().subject().isBlank() || MessageSizes.utf8Length(call.key().subject()) > MessageSizes.MAX_SUBJECT_BYTES) {
             problem = "an order needs a subject of 1 to " + MessageSizes.MAX_SUBJECT_BYTES + " bytes";
         } else if (MessageSizes.utf8Length(call.payload()) > MessageSizes.MAX_ORDER_PAYLOAD_BYTES) {
-            problem = "the payload of an order has at most " + MessageSizes.MAX_ORDER_PAYLOAD_BYTES + " bytes, found "
-                    + MessageSizes.utf8Length(call.payload());
+            problem = "an order's payload has " + MessageSizes.MAX_ORDER_PAYLOAD_BYTES + " bytes at most";
         } else if (call.payload() != null && call.payload().indexOf('\n') >= 0) {
-            problem = "the payload of an order is one line of JSON, found a line break";
+            problem = "an order's payload is one line of JSON";
         } else if (known != null && !(known.key().equals(call.key()) && Objects.equals(known.payload(), call.payload()))) {
             problem = "the id " + call.id() + " belongs to another order";
         } else if (known == null && call.payload() == null && SlotMerge.isRemoved(slot) && !slot.replaced().containsKey(call.id())) {
-            problem = "no order is in force that could be revoked";
+            problem = "nothing stands that could be taken back";
         } else if (SlotMerge.nextVersion(slot) > EntryStore.LIMIT) {
             problem = "no version is left for this key";
         }
@@ -299,6 +298,6 @@
     }
 
     private FleetException removalMemoryFull() {
-        return new FleetException.Full("removed keys remembered in one shard", settings.maxRemovedKeys());
+        return new FleetException.Full("memory of removals in one shard", settings.maxRemovedKeys());
     }
 }
--- a/fleet/src/main/java/walkpost/fleet/copy/SlotMerge.java
+++ b/fleet/src/main/java/walkpost/fleet/copy/SlotMerge.java
@@ -108,7 +108,7 @@
         return switch (slot.heads().size()) {
             case 0 -> "nothing";
             case 1 -> slot.heads().get(0).id();
-            default -> "rivals " + String.join(" and ", headIds(slot)) + ", to be settled by an order that replaces them all";
+            default -> "rivals " + String.join(" and ", headIds(slot)) + ", to be settled by an order that replaces whatever stands";
         };
     }
 
--- a/proxy/src/main/java/walkpost/proxy/ClientConnection.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientConnection.java
@@ -192,7 +192,7 @@
     }
 
     private FullHttpResponse requestTimeout() {
-        return Frontend.textResponse(HttpResponseStatus.REQUEST_TIMEOUT, "the request was not received completely in time");
+        return Frontend.textResponse(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
     }
 
     @Override
@@ -224,7 +224,7 @@
         }
         if (message.decoderResult().isFailure()) {
             abandonIncompleteRequest();
-            closeWith(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "malformed HTTP request"));
+            closeWith(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "not a request that can be read"));
             return;
         }
         if (message instanceof HttpRequest head) {
@@ -286,7 +286,7 @@
             receiver = null;
             cancelReceiveTimer();
             next.clientGone();
-            closeWith(Frontend.textResponse(HttpResponseStatus.TOO_MANY_REQUESTS, "too many pipelined requests on one connection"));
+            closeWith(Frontend.textResponse(HttpResponseStatus.TOO_MANY_REQUESTS, "too much at once"));
         }
     }
 
--- a/proxy/src/main/java/walkpost/proxy/ClientExchange.java
+++ b/proxy/src/main/java/walkpost/proxy/ClientExchange.java
@@ -93,7 +93,7 @@
             sendResponse(Frontend.textResponse(e.status, e.getMessage()));
             return;
         } catch (IllegalArgumentException e) {
-            sendResponse(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "malformed request target"));
+            sendResponse(Frontend.textResponse(HttpResponseStatus.BAD_REQUEST, "not a path that can be read"));
             return;
         }
         id = incoming.id();
@@ -122,8 +122,7 @@
     /** Validates the request against the admission rules and returns it in the form that the proxy takes. */
     private BalancerDriver.IncomingRequest toIncomingRequest(String target, QueryStringDecoder uri) throws RejectedRequestException {
         if (!uri.rawPath().equals("/api") && !uri.rawPath().startsWith("/api/")) {
-            throw new RejectedRequestException(HttpResponseStatus.NOT_FOUND,
-                    "unknown path; expected /ready, /api or a path under /api/");
+            throw new RejectedRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
         }
         HttpHeaders headers = head.headers();
         String requestClass = requiredHeader(headers, Headers.REQUEST_CLASS);
@@ -132,13 +131,11 @@
                 : rulesAtArrival;
         Balancer.Effect effect = rules.effects().get(requestClass);
         if (effect == null) {
-            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST,
-                    Headers.REQUEST_CLASS + " names no request class of this proxy's configuration");
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST, "unknown " + Headers.REQUEST_CLASS);
         }
         HttpMethod expectedMethod = effect == Balancer.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         if (!head.method().equals(expectedMethod)) {
-            throw new RejectedRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED,
-                    "requests of the class given in " + Headers.REQUEST_CLASS + " must use " + expectedMethod);
+            throw new RejectedRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class is asked for with " + expectedMethod);
         }
         if (effect == Balancer.Effect.KEYED) {
             requiredHeader(headers, Headers.IDEMPOTENCY_KEY);
@@ -147,14 +144,12 @@
         if (!rules.tenants().isEmpty()) {
             tenant = requiredHeader(headers, Headers.TENANT);
             if (!rules.tenants().contains(tenant)) {
-                throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST,
-                        Headers.TENANT + " names no tenant of this proxy's configuration");
+                throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST, "unknown " + Headers.TENANT);
             }
         }
         String requestId = requiredHeader(headers, Headers.REQUEST_ID);
         if (frontend.balancerDriver.hasRequest(requestId)) {
-            throw new RejectedRequestException(HttpResponseStatus.CONFLICT,
-                    "another request with the same " + Headers.REQUEST_ID + " is in progress");
+            throw new RejectedRequestException(HttpResponseStatus.CONFLICT, "a request with this id is being served");
         }
         List<String> keys = uri.parameters().get("k");
         timeoutUs = timeoutUs(requiredHeader(headers, Headers.TIMEOUT));
@@ -166,7 +161,7 @@
     private static String requiredHeader(HttpHeaders headers, String name) throws RejectedRequestException {
         String value = headers.get(name);
         if (value == null || value.isEmpty()) {
-            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST, "header " + name + " is missing or empty");
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST, "missing " + name);
         }
         return value;
     }
@@ -179,8 +174,7 @@
     private static long timeoutUs(String text) throws RejectedRequestException {
         Matcher matcher = TIMEOUT.matcher(text);
         if (!matcher.matches() || Long.parseLong(matcher.group(1)) == 0) {
-            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST,
-                    Headers.TIMEOUT + " must be a positive number of at most 8 digits with the unit m (ms) or u (us)");
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST, "bad " + Headers.TIMEOUT);
         }
         return Long.parseLong(matcher.group(1)) * (matcher.group(2).equals("m") ? 1_000 : 1);
     }
@@ -196,7 +190,7 @@
     @Override
     public void refuse(long retryAfterUs) {
         FullHttpResponse response = Frontend.textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                "refused for now; the request was not processed and may be retried");
+                "not now; trying again is harmless");
         if (retryAfterUs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6));
         }
@@ -205,7 +199,7 @@
 
     @Override
     public void fail() {
-        sendResponse(Frontend.textResponse(HttpResponseStatus.BAD_GATEWAY, "the request failed; it may have taken effect"));
+        sendResponse(Frontend.textResponse(HttpResponseStatus.BAD_GATEWAY, "failed; it may have taken effect"));
     }
 
     private void sendResponse(FullHttpResponse response) {
--- a/proxy/src/main/java/walkpost/proxy/ExclusionStore.java
+++ b/proxy/src/main/java/walkpost/proxy/ExclusionStore.java
@@ -72,7 +72,7 @@
         try {
             write(id, true);
         } catch (IOException e) {
-            throw new ExclusionRejectedException("the exclusion of '" + id + "' could not be stored: " + e);
+            throw new ExclusionRejectedException("cannot be kept: " + e);
         }
         markExcluded(id);
     }
@@ -87,7 +87,7 @@
         try {
             write(id, false);
         } catch (IOException e) {
-            throw new ExclusionRejectedException("the exclusion of '" + id + "' could not be removed: " + e);
+            throw new ExclusionRejectedException("cannot be undone: " + e);
         }
         return markIncluded(id);
     }
@@ -118,7 +118,7 @@
         // A server may be known only by an exclusion that another process has stored since the last scan.
         scan();
         if (id.getBytes(StandardCharsets.UTF_8).length > MAX_ID_BYTES || !allSources.isKnown(id)) {
-            throw new ExclusionRejectedException("no such tile server: discovery does not list '" + id + "' and it is not excluded");
+            throw new ExclusionRejectedException("no such tile server");
         }
     }
 
--- a/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
+++ b/proxy/src/main/java/walkpost/proxy/OperatorEndpoint.java
@@ -124,8 +124,7 @@
 
     private FleetAccess fleet() throws InvalidCallException {
         if (fleet == null) {
-            throw new InvalidCallException("this proxy is not a member of a fleet; environment variable "
-                    + ProcessEnvironment.FLEET_VARIABLE + " must name the fleet's file");
+            throw new InvalidCallException("this proxy is in no fleet, as " + ProcessEnvironment.FLEET_VARIABLE + " names no file");
         }
         return fleet;
     }
@@ -185,7 +184,7 @@
             }
         }
         boolean known = calls.stream().anyMatch(call -> call.startsWith(words[0]));
-        throw new InvalidCallException((known ? "wrong arguments; expected: " : "unknown call; expected one of: ")
+        throw new InvalidCallException((known ? "that is not the form of the call: " : "no such call; there are: ")
                 + calls.stream().filter(call -> !known || call.startsWith(words[0])).map(Call::form).collect(Collectors.joining(", ")));
     }
 
@@ -195,11 +194,11 @@
             line.readBytes(bytes);
             String text = StandardCharsets.UTF_8.newDecoder().decode(bytes.flip()).toString();
             if (text.chars().anyMatch(c -> Character.isISOControl(c) && c != '\t')) {
-                throw new InvalidCallException("the line is not text; expected UTF-8 without control characters");
+                throw new InvalidCallException("not a line of text");
             }
             return text;
         } catch (CharacterCodingException e) {
-            throw new InvalidCallException("the line is not text; expected UTF-8 without control characters");
+            throw new InvalidCallException("not a line of text");
         }
     }
 
--- a/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
+++ b/proxy/src/main/java/walkpost/proxy/ProxyFleetMember.java
@@ -303,11 +303,10 @@
     /** Returns why the arguments of a call are invalid, or null if they are valid. */
     private static String invalidArgument(String server, String orderId) {
         if (lengthInBytes(server) > ExclusionStore.MAX_ID_BYTES) {
-            return "the tile server's id has " + lengthInBytes(server) + " bytes; at most " + ExclusionStore.MAX_ID_BYTES + " are allowed";
+            return "no tile server has an id of more than " + ExclusionStore.MAX_ID_BYTES + " bytes";
         }
         return orderId.equals("-") || lengthInBytes(orderId) > MAX_ORDER_ID_BYTES
-                ? "the order's id '" + orderId + "' is invalid; use any word except '-', of at most " + MAX_ORDER_ID_BYTES + " bytes"
-                : null;
+                ? "the order's own id is any word but '-', of up to " + MAX_ORDER_ID_BYTES + " bytes" : null;
     }
 
     private static int lengthInBytes(String word) {
--- a/proxy/src/main/java/walkpost/proxy/RequestHeadValidator.java
+++ b/proxy/src/main/java/walkpost/proxy/RequestHeadValidator.java
@@ -40,20 +40,18 @@
         HttpHeaders headers = head.headers();
         boolean http10 = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
         if (head.protocolVersion().majorVersion() != 1) {
-            throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST, "unsupported protocol version; expected HTTP/1.x");
+            throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST, "not HTTP/1");
         }
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (!codings.isEmpty()
                 && (http10 || codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
-            throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST,
-                    "the end of the body is ambiguous: Transfer-Encoding must be 'chunked', once, and only with HTTP/1.1");
+            throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST, "a body whose end can't be told");
         }
         if (headers.getAll(HttpHeaderNames.HOST).size() > 1) {
-            throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST, "more than one Host header; expected at most one");
+            throw new UnacceptableRequestException(HttpResponseStatus.BAD_REQUEST, "more than one host");
         }
         if (!http10 && headers.contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(head)) {
-            throw new UnacceptableRequestException(HttpResponseStatus.EXPECTATION_FAILED,
-                    "unsupported Expect header; expected 100-continue or none");
+            throw new UnacceptableRequestException(HttpResponseStatus.EXPECTATION_FAILED, "no such expectation can be met");
         }
     }
 
--- a/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
+++ b/proxy/src/test/java/walkpost/proxy/FleetOptInTest.java
@@ -76,7 +76,7 @@
         try (var tcp = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 var udp = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), tcp.getLocalPort()));
                 var program = new ServeProcess(dir, config(), fleet("127.0.0.1:" + udp.getLocalPort()))) {
-            assertThat(program.waitForLine("bad_configuration")).contains("WALKPOST_FLEET").contains("cannot listen at");
+            assertThat(program.waitForLine("bad_configuration")).contains("WALKPOST_FLEET").contains("can't listen at");
             assertThat(program.exitStatus()).isEqualTo(2);
         }
     }
--- a/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
+++ b/proxy/src/test/java/walkpost/proxy/ProxyFleetMemberTest.java
@@ -279,7 +279,7 @@
                     }
                     return new FakeFleet(ONE_HOUR_US);
                 }, socket, (event, actions) -> { }, temp, server)) {
-            assertThat(proxy.callOperator("fleet\n")).startsWith("FAILURE cannot listen at 127.0.0.1:7401");
+            assertThat(proxy.callOperator("fleet\n")).startsWith("FAILURE can't listen at 127.0.0.1:7401");
             fleet.putInForce("s0", EXCLUDED_PAYLOAD);
             assertThat(proxy.nextEvent(Excluded.class)).isEqualTo(new Excluded("s0"));
             old.drain();
