--- a/fleet/src/main/java/walkpost/fleet/observe/Feed.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Feed.java
@@ -78,19 +78,19 @@
             receive(nowUs, received.from(), received.message(), sender, actions);
         } else if (event instanceof FeedEvent.EntriesQueried queried) {
             if (queryBucket.take(nowUs, 1)) {
-                answerEntries(nowUs, queried.from(), queried.question(), queried.own(), sender);
+                answerEntries(nowUs, queried.from(), queried.query(), queried.own(), sender);
             }
         } else if (event instanceof FeedEvent.SlotsChanged changed) {
             slotsChanged(nowUs, changed.slots(), sender);
         } else if (event instanceof FeedEvent.CaughtUpChanged change) {
             caughtUpUntilUs = caughtUp ? nowUs : caughtUpUntilUs;
-            caughtUp = change.level();
+            caughtUp = change.caughtUp();
         } else if (event instanceof FeedEvent.LiveVoters live) {
             otherVoters = new TreeSet<>(live.names().stream().filter(name -> voters.contains(name) && !name.equals(self)).toList());
         } else if (event instanceof FeedEvent.Acknowledged acknowledged) {
             forwardedOrders.acknowledged(nowUs, acknowledged.id(), acknowledged.order(), sender);
         } else if (event instanceof FeedEvent.Refused refused) {
-            forwardedOrders.refused(nowUs, refused.id(), refused.why(), sender);
+            forwardedOrders.refused(nowUs, refused.id(), refused.cause(), sender);
         }
     }
 
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedEvent.java
@@ -27,7 +27,7 @@
      *
      * @param own the entries on that topic that this voter has written itself, with their ages at the time of the event
      */
-    record EntriesQueried(String from, ObserveMessage.EntriesQuery question, List<Entry> own) implements FeedEvent {
+    record EntriesQueried(String from, ObserveMessage.EntriesQuery query, List<Entry> own) implements FeedEvent {
         public EntriesQueried {
             own = List.copyOf(own);
         }
@@ -45,11 +45,11 @@
     }
 
     /** Whether all shards of this voter are caught up has changed. */
-    record CaughtUpChanged(boolean level) implements FeedEvent { }
+    record CaughtUpChanged(boolean caughtUp) implements FeedEvent { }
 
     /** A shard has acknowledged an observer's order that {@link FeedAction.Propose} handed to it. */
     record Acknowledged(String id, Order order) implements FeedEvent { }
 
     /** A shard has refused an observer's order that {@link FeedAction.Propose} handed to it. */
-    record Refused(String id, FleetException why) implements FeedEvent { }
+    record Refused(String id, FleetException cause) implements FeedEvent { }
 }
--- a/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/FeedSubscriptions.java
@@ -272,7 +272,7 @@
 
     private void sendHeartbeat(long nowUs, Subscription subscription, long rootHash, long awayUs, MessageSender sender) {
         // The jitter keeps observers that started together from sending their heartbeats at the same moments for ever.
-        subscription.nextHeartbeatUs = nowUs + settings.beatUs() - random.nextLong(Math.max(1, settings.beatUs() / 8));
+        subscription.nextHeartbeatUs = nowUs + settings.heartbeatUs() - random.nextLong(Math.max(1, settings.heartbeatUs() / 8));
         sender.send(subscription.voter,
                 new ObserveMessage.Heartbeat(nextSeq(nowUs, subscription), isPrimary(subscription), rootHash, awayUs));
         subscription.unansweredHeartbeats++;
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveMessage.java
@@ -66,7 +66,7 @@
      *
      * @param retryMs the time in milliseconds after which the observer may try this voter again
      */
-    record SubscriptionRefused(long seq, ObserveMessage.RefusalReason why, long retryMs) implements ObserveMessage {
+    record SubscriptionRefused(long seq, RefusalReason why, long retryMs) implements ObserveMessage {
         public SubscriptionRefused {
             Objects.requireNonNull(why, "why");
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Carries slots that have just changed at the voter. The observer answers with a {@link ObserveMessage.PushAck} of the same number. */
+    /** Carries slots that have just changed at the voter. The observer answers with a {@link PushAck} of the same number. */
     record Push(long number, long awayUs, List<Slot> slots) implements ObserveMessage {
         public Push {
             slots = List.copyOf(slots);
--- a/fleet/src/main/java/walkpost/fleet/observe/ObserveSettings.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/ObserveSettings.java
@@ -3,7 +3,7 @@
 /**
  * The settings of observers and of the voters that feed them. All members of a fleet must have the same; times are in microseconds.
  *
- * @param beatUs the period of an observer's heartbeats to each of its feeds
+ * @param heartbeatUs the period of an observer's heartbeats to each of its feeds
  * @param silenceUs an observer gives up a feed, and a voter forgets an observer, that it has not heard from for this long
  * @param retransmitUs the time after which an unanswered subscription, push or forwarded order is sent again
  * @param forwardTimeoutUs how long an observer tries to forward an operator's order, to one voter after another
@@ -14,16 +14,16 @@
  * @param removalUs how long a removal is remembered: a replica that was out of contact longer than another, by more than half of this
  *     time, is emptied before the two are compared
  */
-public record ObserveSettings(long beatUs, long silenceUs, long retransmitUs, long forwardTimeoutUs, long minBackOffUs,
+public record ObserveSettings(long heartbeatUs, long silenceUs, long retransmitUs, long forwardTimeoutUs, long minBackOffUs,
         long maxBackOffUs, long rebalanceUs, int maxObservers, int subscriptionsPerSecond, long removalUs) {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
 
     public ObserveSettings {
-        if (beatUs <= 0 || silenceUs < 2 * beatUs || retransmitUs <= 0 || forwardTimeoutUs < retransmitUs || minBackOffUs <= 0
+        if (heartbeatUs <= 0 || silenceUs < 2 * heartbeatUs || retransmitUs <= 0 || forwardTimeoutUs < retransmitUs || minBackOffUs <= 0
                 || maxBackOffUs < minBackOffUs || rebalanceUs < silenceUs || maxObservers <= 0 || subscriptionsPerSecond <= 0
                 || removalUs <= 2 * silenceUs) {
-            throw new IllegalArgumentException("observe settings must be above zero, with silenceUs >= 2 * beatUs, "
+            throw new IllegalArgumentException("observe settings must be above zero, with silenceUs >= 2 * heartbeatUs, "
                     + "forwardTimeoutUs >= retransmitUs, maxBackOffUs >= minBackOffUs, rebalanceUs >= silenceUs and "
                     + "removalUs > 2 * silenceUs, but are " + this);
         }
--- a/fleet/src/main/java/walkpost/fleet/observe/Observer.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/Observer.java
@@ -227,7 +227,7 @@
     }
 
     private void publishChanges(long nowUs, Consumer<ObserverAction> actions) {
-        boolean caughtUpNow = hasBeenInSync && nowUs - lastInSyncUs <= settings.silenceUs() + settings.beatUs();
+        boolean caughtUpNow = hasBeenInSync && nowUs - lastInSyncUs <= settings.silenceUs() + settings.heartbeatUs();
         if (hasBeenInSync) {
             publishOrders(actions);
         }
--- a/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/OwnEntries.java
@@ -30,8 +30,10 @@
     /** Writes an entry; a null payload withdraws it. An entry that is too long, or one too many, is refused and counted. */
     void write(long nowUs, String topic, String subject, String payload) {
         var key = new Entry.Key(topic, subject, self.name());
-        if (MessageSizes.utf8Length(topic) > MessageSizes.MAX_TOPIC_BYTES || MessageSizes.utf8Length(subject) > MessageSizes.MAX_SUBJECT_BYTES
-                || MessageSizes.utf8Length(payload) > MessageSizes.MAX_ENTRY_PAYLOAD_BYTES || !entries.containsKey(key) && entries.size() >= MAX_ENTRIES) {
+        if (MessageSizes.utf8Length(topic) > MessageSizes.MAX_TOPIC_BYTES
+                || MessageSizes.utf8Length(subject) > MessageSizes.MAX_SUBJECT_BYTES
+                || MessageSizes.utf8Length(payload) > MessageSizes.MAX_ENTRY_PAYLOAD_BYTES
+                || !entries.containsKey(key) && entries.size() >= MAX_ENTRIES) {
             counters.increment("facts.refused");
             return;
         }
--- a/fleet/src/main/java/walkpost/fleet/observe/VoterQueries.java
+++ b/fleet/src/main/java/walkpost/fleet/observe/VoterQueries.java
@@ -98,7 +98,7 @@
     }
 
     /** Delivers the results, by the number of the query, of the queries that all voters have answered or whose time has passed. */
-    public void deliverResults(long nowUs, BiConsumer<Long, VoterQueries.EntriesResult> entries, BiConsumer<Long, VoterQueries.CoverageResult> coverage) {
+    public void deliverResults(long nowUs, BiConsumer<Long, EntriesResult> entries, BiConsumer<Long, CoverageResult> coverage) {
         for (Map.Entry<Long, Query> each : List.copyOf(openQueries.entrySet())) {
             Query query = each.getValue();
             if (!query.silent.isEmpty() && nowUs < query.deadlineUs) {
@@ -106,9 +106,9 @@
             }
             openQueries.remove(each.getKey());
             if (query.forEntries) {
-                entries.accept(each.getKey(), new VoterQueries.EntriesResult(new ArrayList<>(query.found.values()), List.copyOf(query.silent)));
+                entries.accept(each.getKey(), new EntriesResult(new ArrayList<>(query.found.values()), List.copyOf(query.silent)));
             } else {
-                coverage.accept(each.getKey(), new VoterQueries.CoverageResult(query.held, query.of, List.copyOf(query.lacking),
+                coverage.accept(each.getKey(), new CoverageResult(query.held, query.of, List.copyOf(query.lacking),
                         List.copyOf(query.silent)));
             }
         }
--- a/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
+++ b/fleet/src/test/java/walkpost/fleet/sim/ObserverOracle.java
@@ -24,7 +24,7 @@
     private static final double MIN_CLOCK_RATE = 0.98;
     /** A copy that no caught-up voter has confirmed for this time, by the slowest clock, is no longer caught up. */
     private static final long MAX_UNCONFIRMED_US =
-            (long) ((ObserveSettings.defaults().silenceUs() + ObserveSettings.defaults().beatUs()) / MIN_CLOCK_RATE)
+            (long) ((ObserveSettings.defaults().silenceUs() + ObserveSettings.defaults().heartbeatUs()) / MIN_CLOCK_RATE)
                     + 100 * SimClock.MILLI_US;
 
     /**
